--- a/agent/src/board/mod.rs
+++ b/agent/src/board/mod.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use steprelay_core::Source;
+use steprelay_core::ListSource;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -67,7 +67,7 @@
             (alive, silence) = (Instant::now(), SILENCE);
             // What was written twice is applied once: in between, something newer may have been told.
             let Some((kind, servers)) = frame.list.filter(|_| frame.number > *last) else { continue };
-            let input = Input::Listed { source: Source::Board, kind, servers };
+            let input = Input::Listed { source: ListSource::Discovery, kind, servers };
             if shared.inputs.send(input).await.is_err() {
                 return Ok(());
             }
--- a/agent/src/config.rs
+++ b/agent/src/config.rs
@@ -6,7 +6,7 @@
 
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
-use steprelay_core::{Bounds, Source};
+use steprelay_core::{CoreLimits, ListSource};
 use steprelay_decisions::{Entry, ListKind, Readiness};
 use steprelay_settings::{SettingsError, Site};
 
@@ -69,13 +69,13 @@
     pub board: Option<SocketAddr>,
     pub known: Known,
     pub site: Site,
-    pub bounds: Bounds,
+    pub bounds: CoreLimits,
 }
 
 /// The list of servers as it was before the start.
 #[derive(Debug)]
 pub struct Known {
-    pub source: Source,
+    pub source: ListSource,
     pub kind: ListKind,
     pub last: u64,
     pub servers: Vec<(Entry, Way)>,
@@ -200,11 +200,11 @@
             board: raw.board.as_deref().map(|text| address("board", text)).transpose()?,
             known,
             site,
-            bounds: Bounds {
+            bounds: CoreLimits {
                 // Callers hold a third of the descriptors; the second third is for others that come to call.
                 connections: (sockets * 2 / 3).min(sockets.saturating_sub(own)).max(1),
-                connections_of_one: (sockets / 3).max(1),
-                bytes: memory / HELD_PART,
+                connections_per_peer: (sockets / 3).max(1),
+                pending_call_bytes: memory / HELD_PART,
             },
         })
     }
@@ -243,7 +243,7 @@
         }
     }
     let servers = servers.into_values().filter(|(entry, _)| entry.state != Readiness::Gone).collect();
-    Ok(Known { source: Source::Board, kind: ListKind::Remembered, last: raw.rev, servers })
+    Ok(Known { source: ListSource::Discovery, kind: ListKind::Remembered, last: raw.rev, servers })
 }
 
 #[cfg(test)]
--- a/agent/src/fleet/mod.rs
+++ b/agent/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 use std::time::Instant;
 
 use steprelay_copies::member::{Figures as CopyFigures, News};
-use steprelay_core::duty::State;
+use steprelay_core::lifecycle::State;
 use steprelay_decisions::{Micros, Readiness, ServerId};
 use steprelay_fleet::council::CouncilError;
 use steprelay_fleet::node::{Figures, Node, Page, Setup};
--- a/agent/src/front/m3ua/mod.rs
+++ b/agent/src/front/m3ua/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use steprelay_core::{BoundCall, ClientId, ReleaseCause, Request, Source, Verdict};
+use steprelay_core::{CircuitCall, ClientId, ListSource, ReleaseCause, Request, Verdict};
 use steprelay_decisions::{CallId, Cause as Noted, ListKind, Micros, Readiness, Report};
 use steprelay_signalling::cause::{Cause, Location, Meaning};
 use steprelay_signalling::circuits::CallRef;
@@ -119,7 +119,7 @@
     queue: mpsc::Receiver<Told>,
     outboxes: BTreeMap<Association, Outbox<Bytes>>,
     servers: Vec<ServerState>,
-    start: u16,
+    incarnation: u16,
     kept: Option<Rc<Kept>>,
     /// When the bytes that are being looked at came.
     came: Micros,
@@ -134,12 +134,12 @@
 /// The file of standing calls cannot be used.
 pub fn start(config: M3uaConfig, shared: Shared, agent: &str) -> Result<Handle, KeptError> {
     let now = shared.clock.now();
-    let start = (now / 1000 % 1024) as u16;
+    let incarnation = (now / 1000 % 1024) as u16;
     let mut serial = 0;
     // Ids name their circuits, so that a release finds its way also after a restart of ours.
     let name = move |client: usize, circuit| {
         serial += 1;
-        CallRef(BoundCall { client: client as u8, circuit, start }.id(serial).0)
+        CallRef(CircuitCall { client: client as u8, circuit, incarnation }.id(serial).0)
     };
     let mut office = Office::new(config.office(), Box::new(name), now);
     let mut kept = None;
@@ -154,8 +154,17 @@
     let handle = Handle { config: Rc::new(config), told, shared, office, kept: kept.clone() };
     let (outboxes, inputs) = (BTreeMap::new(), Vec::new());
     let sending = None;
-    let front =
-        Front { handle: handle.clone(), queue, outboxes, servers, start, kept, came: now, sending, inputs };
+    let front = Front {
+        handle: handle.clone(),
+        queue,
+        outboxes,
+        servers,
+        incarnation,
+        kept,
+        came: now,
+        sending,
+        inputs,
+    };
     spawn_local(front.run());
     Ok(handle)
 }
@@ -174,7 +183,7 @@
             kept.put(Record { peer, is_client, circuit, call: None });
             continue;
         };
-        let caller = BoundCall::of(CallId(call.0)).map(|named| usize::from(named.client));
+        let caller = CircuitCall::of(CallId(call.0)).map(|named| usize::from(named.client));
         let theirs = is_client || caller.is_some() && caller == config.caller_place(place);
         office.restore(is_client, place, circuit, call, theirs);
         taken += 1;
@@ -187,7 +196,7 @@
     pub fn listed(&self) -> Input {
         let places = 0..self.config.servers.len();
         let servers = places.map(|place| self.config.entry(place, Readiness::Ready)).collect();
-        Input::Listed { source: Source::M3ua, kind: ListKind::Remembered, servers }
+        Input::Listed { source: ListSource::M3ua, kind: ListKind::Remembered, servers }
     }
 
     async fn tell(&self, told: Told) {
@@ -310,7 +319,8 @@
                 // A call that stood before this process started is not known here, but its id names its
                 // circuit. One of this process that is not known has been released by the client already.
                 let known = self.handle.office.borrow().knows(client, CallRef(call.0));
-                let earlier = BoundCall::of(call).filter(|named| named.start != self.start && !known);
+                let earlier =
+                    CircuitCall::of(call).filter(|named| named.incarnation != self.incarnation && !known);
                 if let Some(named) = earlier {
                     let cause = Cause(cause.0);
                     return self.office(Event::Recall { client, circuit: named.circuit, cause });
@@ -528,7 +538,7 @@
         let (mut entry, way) = self.handle.config.entry(server, state);
         entry.started = self.servers[server].started;
         let servers = vec![(entry, way)];
-        self.inputs.push(Input::Listed { source: Source::M3ua, kind: ListKind::Changes, servers });
+        self.inputs.push(Input::Listed { source: ListSource::M3ua, kind: ListKind::Changes, servers });
     }
 
     fn offer(&mut self, client: usize, call: CallRef, set_up: SetUp) {
@@ -544,8 +554,8 @@
             dest: self.handle.office.borrow().first_choice(&set_up.number),
             number: Rc::from(set_up.number),
             description: Rc::from(set_up.description),
-            came: self.came,
-            left: class.wait,
+            received_at: self.came,
+            remaining: class.wait,
             was_cut: false,
         };
         self.inputs.push(Input::Offer { client: client_id(client), request });
@@ -553,7 +563,7 @@
 }
 
 fn client_id(place: usize) -> ClientId {
-    ClientId(ClientId::BOUND | place as u64)
+    ClientId(ClientId::CIRCUIT_BOUND | place as u64)
 }
 
 /// The congestion level that a release of this wait carries: how long to stay away.
--- a/agent/src/front/platform/clients.rs
+++ b/agent/src/front/platform/clients.rs
@@ -160,7 +160,7 @@
     names.iter().position(|known| known == name)
 }
 
-fn request(message: &Message, call: CallId, came: Micros, shared: &Shared) -> Option<Request> {
+fn request(message: &Message, call: CallId, received_at: Micros, shared: &Shared) -> Option<Request> {
     let site = &shared.site;
     let class = place(&site.class_names, message.class.as_deref()?)?;
     let tenant = match message.tenant.as_deref() {
@@ -179,8 +179,8 @@
         dest: extras.dest,
         number: Rc::from(message.key.as_deref().unwrap_or_default()),
         description: Rc::from(message.description.as_deref()?),
-        came,
-        left: steprelay_settings::micros(left),
+        received_at,
+        remaining: steprelay_settings::micros(left),
         was_cut: extras.again,
     })
 }
--- a/agent/src/net/copies.rs
+++ b/agent/src/net/copies.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use steprelay_copies::member::Question;
-use steprelay_core::{ClientId, Effect, Promise};
+use steprelay_core::{CallState, ClientId, Effect};
 use steprelay_decisions::{CallId, Micros};
 use tokio::sync::mpsc;
 
@@ -122,9 +122,9 @@
     }
 
     /// A promise has changed.
-    pub fn note(&mut self, call: CallId, promise: Option<Promise>, by: Option<Micros>) {
+    pub fn note(&mut self, call: CallId, promise: Option<CallState>, by: Option<Micros>) {
         self.by = by;
-        if !matches!(promise, Some(Promise::Out(_))) {
+        if !matches!(promise, Some(CallState::AttemptPending(_))) {
             self.set_ups.remove(&call);
         }
         self.say(Note::Promise(call, promise));
@@ -179,7 +179,7 @@
         self.behind && self.end.notes.capacity() > self.end.notes.max_capacity() / 2
     }
 
-    pub fn all(&mut self, promised: Vec<(CallId, Promise)>) {
+    pub fn all(&mut self, promised: Vec<(CallId, CallState)>) {
         self.behind = false;
         self.say(Note::All(promised));
         self.settled_by = self.noted;
@@ -208,7 +208,7 @@
                 None
             }
             // It has not left.
-            Effect::GiveUp { call, .. } if self.set_ups.remove(call).is_some() => None,
+            Effect::CancelAttempt { call, .. } if self.set_ups.remove(call).is_some() => None,
             _ => Some(effect),
         }
     }
@@ -352,7 +352,9 @@
     /// Traces the lease under which a caller is told something.
     pub fn trace_lease(&self, effect: &Effect) {
         match effect {
-            Effect::Answer { call, .. } | Effect::Final { call, .. } | Effect::Released { call, .. } => {
+            Effect::Answer { call, .. }
+            | Effect::FinalAnswer { call, .. }
+            | Effect::DeliverRelease { call, .. } => {
                 trace::lease(*call, self.end.lease.left(), self.renounced);
             }
             _ => {}
--- a/agent/src/net/owner.rs
+++ b/agent/src/net/owner.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use steprelay_core::duty::State;
-use steprelay_core::{Breach, ClientId, Core, LinkLoss, NotSent, Source};
+use steprelay_core::lifecycle::State;
+use steprelay_core::{Breach, ClientId, Core, LinkLoss, ListSource, NotSent};
 use steprelay_decisions::{CallId, Entry, ListKind, Micros, Readiness, ServerId};
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
@@ -90,7 +90,7 @@
 
     /// Has what is promised copied to others from now on.
     pub fn copy(&mut self, end: CopiesEnd) {
-        self.core.tell_promises();
+        self.core.enable_replication();
         self.copies = Some(Copies::new(end));
     }
 
@@ -104,8 +104,8 @@
     fn tell_pressure(&mut self) {
         let now = self.shared.clock.now();
         // Those that are told come last in the order of ids.
-        let told = self.clients.keys().next_back().is_some_and(|client| client.is_bound());
-        if now < self.next_pressure || !told || self.core.duty().state() != State::Serving {
+        let told = self.clients.keys().next_back().is_some_and(|client| client.is_circuit_bound());
+        if now < self.next_pressure || !told || self.core.lifecycle().state() != State::Serving {
             return;
         }
         self.next_pressure = now + PRESSURE;
@@ -123,7 +123,7 @@
             _ => 1,
         };
         if std::mem::replace(&mut self.pressure, level) != level {
-            for (_, outbox) in self.clients.iter().rev().take_while(|(client, _)| client.is_bound()) {
+            for (_, outbox) in self.clients.iter().rev().take_while(|(client, _)| client.is_circuit_bound()) {
                 outbox.post(ToClient::Pressure(level));
             }
         }
@@ -147,12 +147,12 @@
                     break;
                 }
             }
-            let starting = self.core.duty().state() == State::Starting;
+            let starting = self.core.lifecycle().state() == State::Starting;
             let waits = self.copies.as_ref().is_some_and(Copies::waits);
-            let stopping = self.core.duty().state() == State::Stopping;
+            let stopping = self.core.lifecycle().state() == State::Stopping;
             let look = (stopping || starting || waits).then_some(now + LOOK);
             let look = if self.deferred.is_empty() { look } else { Some(now) };
-            let wake = [self.core.next_wake(), self.links.next_due(), look].into_iter().flatten().min();
+            let wake = [self.core.next_timer(), self.links.next_due(), look].into_iter().flatten().min();
             let wake = wake.unwrap_or(now + 1_000_000);
             tokio::select! {
                 biased;
@@ -166,12 +166,12 @@
             began = self.shared.clock.now();
             self.drain(&mut queue);
             let now = self.shared.clock.now();
-            let is_due = self.core.next_wake().is_some_and(|at| at <= now) || self.links.are_overdue();
-            if self.core.sends() || self.links.opens() || is_due || !self.deferred.is_empty() {
+            let is_due = self.core.next_timer().is_some_and(|at| at <= now) || self.links.are_overdue();
+            if self.core.has_set_up_to_send() || self.links.opens() || is_due || !self.deferred.is_empty() {
                 self.settle(&mut queue).await;
             }
             self.polled = self.shared.clock.now();
-            self.core.wake(self.polled);
+            self.core.run_timers(self.polled);
             self.answer_all_in_time();
         }
         self.flush(&mut queue).await;
@@ -179,14 +179,14 @@
         log::event(format_args!(
             "stopped; offered {}, stood {}, refused {}, failed {}, gone {}, stand {}, breaches {}",
             counts.offered,
-            counts.stood,
+            counts.established,
             counts.refused,
             counts.failed,
             counts.abandoned,
-            self.core.standing(),
+            self.core.established_calls(),
             Breach::ALL.iter().map(|&breach| counts.breaches(breach)).sum::<u64>()
         ));
-        self.core.duty().ends_by()
+        self.core.lifecycle().exit_deadline()
     }
 
     pub fn take(&mut self, input: Input) {
@@ -205,9 +205,9 @@
                 self.unsent.forget(client);
                 self.core.client_closed(now, client);
             }
-            Input::ClientAway { client, away } => self.core.client_away(client, away),
+            Input::ClientAway { client, away } => self.core.set_client_unreachable(client, away),
             Input::Offer { client, request } => self.core.offer(now, self.polled, client, request),
-            Input::Unfit { client, call, class } => self.core.offer_unfit(client, call, class),
+            Input::Unfit { client, call, class } => self.core.offer_invalid(client, call, class),
             Input::ClientEnded { client, call, cause } => {
                 if let Some(copies) = &mut self.copies {
                     copies.drop_answer(call);
@@ -215,14 +215,14 @@
                 self.core.client_ended(now, client, call, cause)
             }
             Input::ClientTested { client, call } => {
-                self.core.client_tested(now, client);
-                let passes = self.core.duty().passes();
+                self.core.client_health_checked(now, client);
+                let passes = self.core.lifecycle().passes_health_check();
                 self.tell(client, if passes { ToClient::Passed(call) } else { ToClient::NotPassed(call) });
             }
             Input::ClientPaused { client, inputs } => self.core.client_paused(now, client, inputs),
             Input::ReleaseSent { client, call, at } => self.release_sent(at, client, call),
-            Input::ClientSilent { client, call } => self.core.client_silent(now, client, call),
-            Input::ReleaseHeard { client, call } => self.core.release_heard(now, client, call),
+            Input::ClientSilent { client, call } => self.core.no_unread_input(now, client, call),
+            Input::ReleaseHeard { client, call } => self.core.release_acknowledged(now, client, call),
             Input::LinkUp { link, outbox } if self.links.is_current(link) => {
                 trace::link(link, "is up");
                 if self.unreachable.remove(&link.server) {
@@ -281,13 +281,14 @@
             | Input::Tested { .. } => {}
             Input::Listed { source, kind, servers } => self.listed(source, kind, servers),
             Input::Hold(servers) => {
-                self.core.hold(now, &servers);
+                self.core.set_held_servers(now, &servers);
                 self.leave_not_ready(now);
             }
             Input::Snapshot(asked) => {
-                let held = self.core.held().map(|server| (server, self.core.is_busy(server))).collect();
+                let held =
+                    self.core.held_servers().map(|server| (server, self.core.is_busy(server))).collect();
                 let servers = self.core.servers(now).collect();
-                let (unanswered, standing) = (self.core.unanswered(), self.core.standing());
+                let (unanswered, standing) = (self.core.unanswered_calls(), self.core.established_calls());
                 let counts = self.core.counts().clone();
                 // Whoever asked may have gone meanwhile.
                 let (targets, targets_disabled) = self.core.targets(now);
@@ -298,7 +299,7 @@
                     targets,
                     targets_disabled,
                     tallies: self.shared.tallies.get(),
-                    duty: self.core.duty().state(),
+                    duty: self.core.lifecycle().state(),
                     held,
                     fleet: self.shared.fleet.borrow().clone(),
                     copies: self.shared.copies.get(),
@@ -308,20 +309,20 @@
             }
             Input::Copies(news) => self.heard_of_copies(now, news),
             Input::Duty(wanted, asked) => {
-                let before = self.core.duty().state();
-                let done = self.core.on_duty(now, |duty| match wanted {
+                let before = self.core.lifecycle().state();
+                let done = self.core.update_lifecycle(now, |lifecycle| match wanted {
                     OnDuty::Ask => Ok(()),
-                    OnDuty::Standby => duty.standby(now),
-                    OnDuty::Active => duty.active(),
+                    OnDuty::Standby => lifecycle.enter_standby(now),
+                    OnDuty::Active => lifecycle.resume_serving(),
                 });
-                let state = self.core.duty().state();
+                let state = self.core.lifecycle().state();
                 if state != before {
                     self.duty_changed(state);
                 }
                 let _ = asked.send(done.map(|()| state));
             }
             Input::Stop { replaced, at } => {
-                let unanswered = self.core.unanswered();
+                let unanswered = self.core.unanswered_calls();
                 log::event(format_args!("told to stop, {unanswered} set-ups are unanswered"));
                 self.core.stop(at, replaced);
                 self.duty_changed(State::Stopping);
@@ -329,10 +330,10 @@
         }
     }
 
-    pub fn listed(&mut self, source: Source, kind: ListKind, servers: Vec<(Entry, Way)>) {
+    pub fn listed(&mut self, source: ListSource, kind: ListKind, servers: Vec<(Entry, Way)>) {
         let now = self.shared.clock.now();
         let entries: Vec<Entry> = servers.iter().map(|(entry, _)| entry.clone()).collect();
-        self.core.list(now, source, kind, &entries);
+        self.core.update_servers(now, source, kind, &entries);
         for (entry, way) in &servers {
             if entry.state != Readiness::Gone && self.links.listed(entry.server, *way, now) {
                 self.core.link_lost(now, entry.server, LinkLoss::Dropped);
@@ -382,12 +383,12 @@
         for (link, way) in self.links.due(now) {
             (self.dial)(link, way);
         }
-        let starting = self.core.duty().state() == State::Starting;
+        let starting = self.core.lifecycle().state() == State::Starting;
         if starting && (self.links.are_settled() || now >= self.started + READY_WITHIN) {
-            self.core.on_duty(now, |duty| duty.ready());
+            self.core.update_lifecycle(now, |lifecycle| lifecycle.set_ready());
         }
         let silence = Silence { now, read_until: self.read_until };
-        for found in self.links.watch(silence, |server| self.core.stands_at(server)) {
+        for found in self.links.watch(silence, |server| self.core.has_established_call_at(server)) {
             match found {
                 Watch::Test(link) => self.test(link),
                 Watch::Relieve(link, way) => {
@@ -402,7 +403,7 @@
             }
         }
         for OutOfReach { server, silent_for } in self.links.out_of_reach(silence) {
-            let ended = self.core.out_of_reach(now, server);
+            let ended = self.core.server_unreachable(now, server);
             log::event(format_args!(
                 "server {}: out of reach, nothing heard for {:.1} s, {ended} calls there are released",
                 server.0,
--- a/agent/src/net/owner/delivery.rs
+++ b/agent/src/net/owner/delivery.rs
@@ -28,7 +28,7 @@
     /// Gives a release to a caller's connection.
     pub(super) fn give_release(&mut self, client: ClientId, call: CallId, cause: ReleaseCause) {
         let dispatch = Dispatch::default();
-        if !client.is_bound() && self.clients.contains_key(&client) {
+        if !client.is_circuit_bound() && self.clients.contains_key(&client) {
             self.unsent.0.insert((client, call), dispatch.clone());
         }
         self.tell(client, ToClient::Released { call, cause, dispatch });
--- a/agent/src/net/owner/effects.rs
+++ b/agent/src/net/owner/effects.rs
@@ -37,7 +37,7 @@
         trace::goes(&self.core, now, &effect);
         if self.copies.is_some() {
             self.look_at_doubt(now);
-            if let Effect::Released { client, call, .. } = &effect {
+            if let Effect::DeliverRelease { client, call, .. } = &effect {
                 if !self.may_release(now, *client, *call) {
                     return;
                 }
@@ -64,11 +64,11 @@
                 self.send(server, set_up);
             }
             // It has not left.
-            Effect::GiveUp { call, .. } if self.deferred.withdraw(call) => {}
-            Effect::GiveUp { server, call } => {
+            Effect::CancelAttempt { call, .. } if self.deferred.withdraw(call) => {}
+            Effect::CancelAttempt { server, call } => {
                 let _ = self.links.post(server, ToServer::GiveUp(call), now);
             }
-            Effect::Withdraw { server, call } => {
+            Effect::WithdrawSetUp { server, call } => {
                 let waited = self.copies.as_mut().is_some_and(|copies| copies.withdraw(call));
                 if waited || self.deferred.withdraw(call) || self.links.withdraw(server, call) {
                     self.not_sent(now, server, call, NotSent::Withdrawn);
@@ -87,20 +87,23 @@
             Effect::Answer { client, call, description } => {
                 self.tell(client, ToClient::Answer { call, description })
             }
-            Effect::Final { client, call, verdict } => self.tell(client, ToClient::Final { call, verdict }),
-            Effect::Released { client, call, cause } => self.give_release(client, call, cause),
+            Effect::FinalAnswer { client, call, verdict } => {
+                self.tell(client, ToClient::Final { call, verdict })
+            }
+            Effect::DeliverRelease { client, call, cause } => self.give_release(client, call, cause),
             Effect::WithdrawRelease { client, call } => self.withdraw_release(now, client, call),
             // Behind what the connection does not take it would never be asked.
-            Effect::AskIfSilent { client, call } if self.is_blocked(client) => {
-                self.core.client_silent(now, client, call);
+            Effect::CheckUnreadInput { client, call } if self.is_blocked(client) => {
+                self.core.no_unread_input(now, client, call);
             }
-            Effect::AskIfSilent { client, call } => self.post(client, ToClient::AskIfSilent(call)),
+            Effect::CheckUnreadInput { client, call } => self.post(client, ToClient::AskIfSilent(call)),
             // It is let go of once it has its answer.
-            Effect::LetGo { client, .. } | Effect::Pause { client } if self.holds_answer_to(client) => {}
+            Effect::CloseIfIdle { client, .. } | Effect::Pause { client } if self.holds_answer_to(client) => {
+            }
             Effect::CloseIfPaused { client, .. } if self.holds_answer_to(client) => {
                 self.post(client, ToClient::Resume);
             }
-            Effect::LetGo { client, inputs } => self.post(client, ToClient::LetGo { inputs }),
+            Effect::CloseIfIdle { client, inputs } => self.post(client, ToClient::LetGo { inputs }),
             Effect::Pause { client } => self.post(client, ToClient::Pause),
             Effect::CloseIfPaused { client, inputs } => self.post(client, ToClient::CloseIfPaused { inputs }),
             Effect::Resume { client } => self.post(client, ToClient::Resume),
@@ -114,18 +117,18 @@
                 self.shared.abandoned.say(now, &line);
             }
             Effect::Log(text) => log::event(text),
-            Effect::Promised { call, promise, by } => {
+            Effect::CallStateChanged { call, state, notify_by } => {
                 if let Some(copies) = &mut self.copies {
-                    copies.note(call, promise, by);
+                    copies.note(call, state, notify_by);
                 }
             }
-            Effect::Acknowledged { call } => {
+            Effect::ReleaseAcknowledged { call } => {
                 if let Some(copies) = &mut self.copies {
                     copies.acknowledged(call);
                 }
             }
-            Effect::PassedOn { call } => self.pass_on(now, call),
-            Effect::Given { call } => {
+            Effect::AnnounceRelease { call } => self.pass_on(now, call),
+            Effect::ReleaseDelivered { call } => {
                 if let Some(copies) = &mut self.copies {
                     copies.given(call);
                 }
--- a/agent/src/net/owner/replication.rs
+++ b/agent/src/net/owner/replication.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use steprelay_copies::member::{News, Precedence};
-use steprelay_core::{ClientId, Effect, Promise, Verdict};
+use steprelay_core::{CallState, ClientId, Effect, Verdict};
 use steprelay_decisions::{CallId, Micros};
 
 use super::Owner;
@@ -20,19 +20,19 @@
         match (copies.in_doubt(), copies.was_in_doubt()) {
             (true, false) => {
                 let mut doubt = Doubt::default();
-                for (call, promise) in self.core.promised() {
+                for (call, promise) in self.core.call_states() {
                     let calls = match promise {
-                        Promise::Out(_) => &mut doubt.out,
-                        Promise::Stands(_) | Promise::Owed(..) => &mut doubt.answered,
+                        CallState::AttemptPending(_) => &mut doubt.out,
+                        CallState::Established(_) | CallState::ReleasePending(..) => &mut doubt.answered,
                     };
                     calls.insert(call);
                 }
                 copies.doubt_begins(doubt);
-                self.core.doubt(now, true);
+                self.core.set_ownership_uncertain(now, true);
             }
             (false, true) => {
                 let (in_time, unanswered) = copies.doubt_ends(now);
-                self.core.doubt(now, false);
+                self.core.set_ownership_uncertain(now, false);
                 in_time.into_iter().for_each(|effect| self.say(now, effect));
                 self.leave_unanswered(now, unanswered);
             }
@@ -46,7 +46,7 @@
         self.look_at_doubt(now);
         let Some(copies) = &mut self.copies else { return };
         if copies.is_behind() {
-            copies.all(self.core.promised().collect());
+            copies.all(self.core.call_states().collect());
         }
         let given_up = copies.given_up(now);
         let (effects, heard) = copies.due(now);
@@ -90,7 +90,7 @@
     pub(super) fn give_up(&mut self, now: Micros, answers: Vec<Effect>) {
         for effect in answers {
             if let Effect::Answer { client, call, .. } = effect {
-                self.say(now, Effect::Final { client, call, verdict: Verdict::Failed });
+                self.say(now, Effect::FinalAnswer { client, call, verdict: Verdict::Failed });
                 self.core.withdraw_answer(now, call);
             }
         }
@@ -99,7 +99,7 @@
     /// A successor has taken these calls over. Whose caller was told nothing yet hears that it failed: at
     /// once, or when the successor has said that it told it nothing either.
     pub(super) fn renounce(&mut self, now: Micros, calls: &BTreeSet<CallId>) {
-        let queued = self.core.take_answers(calls);
+        let queued = self.core.take_back_answers(calls);
         let Some(copies) = &mut self.copies else { return };
         let unanswered = copies.renounced(calls, queued);
         for effect in &unanswered.fail {
@@ -109,7 +109,7 @@
             }
         }
         self.leave_unanswered(now, unanswered);
-        self.core.renounce(now, calls);
+        self.core.relinquish(now, calls);
     }
 
     /// Answers that are never given: their callers are told so, or whoever may have told them is asked.
@@ -131,13 +131,13 @@
             News::Adopt(records) => {
                 for (call, record) in records {
                     trace::replicated(copies::call(call), format_args!("adopted as {record:?}"));
-                    self.core.adopt(now, copies::call(call), copies::promise(record));
+                    self.core.take_over(now, copies::call(call), copies::promise(record));
                 }
             }
             News::Handed(changes) => {
                 for (call, record) in changes {
                     trace::replicated(copies::call(call), format_args!("handed over as {record:?}"));
-                    self.core.handed(now, copies::call(call), record.map(copies::promise));
+                    self.core.apply_handover(now, copies::call(call), record.map(copies::promise));
                 }
             }
             News::Renounce(calls) => {
@@ -156,9 +156,9 @@
                     trace::replicated(call, "over, as another member says");
                     self.copies.iter_mut().for_each(|copies| copies.over_elsewhere(call));
                     if precedence == Precedence::Theirs {
-                        self.core.yield_unclaimed(call);
+                        self.core.yield_release(call);
                     }
-                    self.core.over_elsewhere(now, call);
+                    self.core.ended_elsewhere(now, call);
                 }
             }
             News::Confirm(question) => {
@@ -169,25 +169,25 @@
             News::AllTold(calls) => {
                 for call in calls.into_iter().map(copies::call) {
                     trace::replicated(call, "all members were told, and have answered");
-                    self.core.release_unclaimed(now, call);
+                    self.core.deliver_unclaimed(now, call);
                 }
             }
             News::LeftTo(calls) => {
                 for call in calls.into_iter().map(copies::call) {
                     trace::replicated(call, "left to the member that has announced it");
-                    self.core.yield_unclaimed(call);
+                    self.core.yield_release(call);
                 }
             }
             News::Given(calls) => {
                 for call in calls.into_iter().map(copies::call) {
                     trace::replicated(call, "over, as the member that told its caller says");
                     self.copies.iter_mut().for_each(|copies| copies.over_elsewhere(call));
-                    self.core.given_elsewhere(now, call);
+                    self.core.delivered_elsewhere(now, call);
                 }
             }
             News::Short(short) => {
                 let refuse = self.copies.as_mut().is_some_and(|copies| copies.short(short));
-                self.core.refuse_uncopied(refuse);
+                self.core.refuse_unreplicated(refuse);
             }
         }
     }
--- a/agent/src/net/owner/settle.rs
+++ b/agent/src/net/owner/settle.rs
@@ -73,7 +73,7 @@
     /// Takes in what waits, as far as it waited, and while there is time for it.
     pub(super) fn drain(&mut self, queue: &mut mpsc::Receiver<Input>) -> Drained {
         let waits = queue.len();
-        let ends_by = self.core.duty().ends_by();
+        let ends_by = self.core.lifecycle().exit_deadline();
         let mut drained = Drained { any: waits > 0, callers: BTreeSet::new() };
         for _ in 0..waits {
             let Ok(input) = queue.try_recv() else { break };
@@ -93,7 +93,7 @@
         let mut any = false;
         let began = self.shared.clock.now();
         let until = began + SETTLE_WITHIN;
-        let ends_by = self.core.duty().ends_by().unwrap_or(Micros::MAX);
+        let ends_by = self.core.lifecycle().exit_deadline().unwrap_or(Micros::MAX);
         let mut turns = 0;
         while turns < MOST_TURNS {
             turns += 1;
--- a/agent/src/net/owner/stopping.rs
+++ b/agent/src/net/owner/stopping.rs
@@ -23,12 +23,12 @@
 
     /// Whether the process would not end in time after another turn.
     pub(super) fn is_out_of_time(&self) -> bool {
-        self.is_due(self.shared.clock.now(), self.core.duty().ends_by())
+        self.is_due(self.shared.clock.now(), self.core.lifecycle().exit_deadline())
     }
 
     /// Whether the time to answer all has come, or will be over after another turn.
     fn answers_all(&self, now: Micros) -> bool {
-        self.core.duty().may_end(now) && self.is_due(now, self.core.duty().answers_all_at())
+        self.core.lifecycle().may_exit(now) && self.is_due(now, self.core.lifecycle().final_answer_deadline())
     }
 
     /// Where turns take long, all that is open is answered in the last one that is in time for it: what the
@@ -44,21 +44,21 @@
         // What is answered at that time goes out ahead of the ends of connections.
         let is_over = self.answers_all(now);
         let holds_answers = self.copies.as_ref().is_some_and(Copies::holds_answers);
-        let is_idle = self.core.connections() == 0 && self.core.duty().may_end(now) && !holds_answers;
-        self.core.unanswered() == 0 && (is_over || is_idle)
+        let is_idle = self.core.connections() == 0 && self.core.lifecycle().may_exit(now) && !holds_answers;
+        self.core.unanswered_calls() == 0 && (is_over || is_idle)
     }
 
     /// Lets the last answers leave, and ends the callers' connections behind them. What ends calls is taken
     /// in until each caller has closed its side, too, and until others know what callers have acknowledged.
     pub(super) async fn flush(&mut self, queue: &mut mpsc::Receiver<Input>) {
-        let ends_by = self.core.duty().ends_by().unwrap_or_default() - self.farewell;
+        let ends_by = self.core.lifecycle().exit_deadline().unwrap_or_default() - self.farewell;
         let began = self.shared.clock.now();
         let closed_by = (began + CLOSING).min(ends_by);
         let settled_by = (began + SETTLED_SHORT_WITHIN).min(ends_by);
         // What was heard in the last turn is answered ahead of the ends of connections.
         self.carry_out();
         let callers = |owner: &Self| -> Vec<_> {
-            let callers = owner.clients.iter().filter(|(client, _)| !client.is_bound());
+            let callers = owner.clients.iter().filter(|(client, _)| !client.is_circuit_bound());
             callers.map(|(_, outbox)| outbox.clone()).collect()
         };
         let (held, failed) = self.copies.as_mut().map(Copies::take_answers).unwrap_or_default();
@@ -74,7 +74,7 @@
             let now = self.shared.clock.now();
             let open = callers(self).iter().any(|outbox| !outbox.is_closed());
             // A set-up may come where a last answer is slow to leave.
-            let late = waits(self) || self.core.unanswered() > 0;
+            let late = waits(self) || self.core.unanswered_calls() > 0;
             let by = if self.copies.as_ref().is_some_and(Copies::is_short) { settled_by } else { ends_by };
             let settles = now < by && !self.is_settled();
             if !(late && now < ends_by || open && now < closed_by || settles) {
@@ -83,7 +83,7 @@
             sleep(Duration::from_millis(5)).await;
             self.settle(queue).await;
             self.polled = self.shared.clock.now();
-            self.core.wake(self.polled);
+            self.core.run_timers(self.polled);
             self.keep_links();
             self.look_at_copies();
             self.carry_out();
@@ -97,8 +97,9 @@
 
     /// Whether other members and servers know what callers have acknowledged, where promises are copied.
     fn is_settled(&self) -> bool {
-        let settled =
-            |copies: &Copies| copies.is_settled() && self.core.unclaimed() == 0 && self.links.are_flushed();
+        let settled = |copies: &Copies| {
+            copies.is_settled() && self.core.unclaimed_releases() == 0 && self.links.are_flushed()
+        };
         self.copies.as_ref().is_none_or(settled)
     }
 }
--- a/agent/src/net/owner/tests.rs
+++ b/agent/src/net/owner/tests.rs
@@ -8,7 +8,7 @@
 use crate::ports::ToServer;
 use std::sync::Arc;
 use steprelay_copies::member::News;
-use steprelay_core::{Bounds, Effect, ReleaseCause, Request, Verdict};
+use steprelay_core::{CoreLimits, Effect, ReleaseCause, Request, Verdict};
 use steprelay_decisions::{Cause, Report, Settings};
 use steprelay_settings::Site;
 use tokio::time::Duration;
@@ -29,11 +29,16 @@
     let site = Site { decisions, class_names: vec!["standard-check".into()], ..Site::default() };
     let shared = Shared::new(Clock::start(), Rc::new(site.clone()), mpsc::channel(1).0);
     let now = shared.clock.now();
-    let core = Core::new(site, Bounds { connections: 8, connections_of_one: 8, bytes: 1 << 20 }, 7, now);
+    let core = Core::new(
+        site,
+        CoreLimits { connections: 8, connections_per_peer: 8, pending_call_bytes: 1 << 20 },
+        7,
+        now,
+    );
     let mut owner = Owner::new(core, shared, Rc::new(|_, _| {}));
     let way = Way::Platform(([127, 0, 0, 1], 1).into());
     let entry = Entry { server: SERVER, started: None, number: 0, state: Readiness::Ready };
-    owner.listed(Source::Board, ListKind::All, vec![(entry, way)]);
+    owner.listed(ListSource::Discovery, ListKind::All, vec![(entry, way)]);
     owner.keep_links();
     let (link, client) = (LinkId { server: SERVER, epoch: 1 }, ClientId(1));
     let (outbox, to_server) = conn::channel(conn::Capacity::SERVER);
@@ -45,7 +50,7 @@
     (owner, inbox, link, to_server)
 }
 
-fn request(call: CallId, came: Micros) -> Request {
+fn request(call: CallId, received_at: Micros) -> Request {
     Request {
         call,
         class: 0,
@@ -53,8 +58,8 @@
         dest: None,
         number: "".into(),
         description: "v=0".into(),
-        came,
-        left: 5_000_000,
+        received_at,
+        remaining: 5_000_000,
         was_cut: false,
     }
 }
@@ -73,7 +78,7 @@
     owner.take(ended(LinkId { epoch: 99, ..link }));
     owner.carry_out();
     assert!(matches!(inbox.next_now(), Some(ToClient::Released { call: CALL, .. })));
-    assert_eq!(owner.core.standing(), 0);
+    assert_eq!(owner.core.established_calls(), 0);
 }
 
 #[test]
@@ -82,7 +87,7 @@
     owner.take(ended(LinkId { epoch: 99, ..link }));
     owner.carry_out();
     assert!(inbox.next_now().is_none());
-    assert_eq!(owner.core.unanswered(), 1, "its attempt is out on another connection");
+    assert_eq!(owner.core.unanswered_calls(), 1, "its attempt is out on another connection");
 }
 
 /// The same, where promises are copied: with the ends that whoever copies them has.
@@ -168,7 +173,7 @@
     let drained: Leaves = |_| {
         let entry = Entry { server: SERVER, started: None, number: 0, state: Readiness::Draining };
         let servers = vec![(entry, Way::Platform(([127, 0, 0, 1], 1).into()))];
-        vec![Input::Listed { source: Source::Board, kind: ListKind::Changes, servers }]
+        vec![Input::Listed { source: ListSource::Discovery, kind: ListKind::Changes, servers }]
     };
     let cases: [(&str, Leaves, usize); 5] = [
         ("stays", |_| Vec::new(), 1),
@@ -221,7 +226,7 @@
     assert!(matches!(inbox.next_now(), Some(ToClient::Final { call: CALL, verdict: Verdict::Failed })));
     let ends = |word: &ToServer| matches!(word, ToServer::Release(CALL, _));
     assert_eq!(std::iter::from_fn(|| to_server.next_now()).filter(ends).count(), 1);
-    assert_eq!(owner.core.standing(), 0);
+    assert_eq!(owner.core.established_calls(), 0);
 }
 
 #[test]
@@ -312,7 +317,7 @@
     let now = owner.shared.clock.now();
     owner.take(Input::Stop { replaced: false, at: now - 3_500_000 });
     assert!(!owner.is_done(now), "a call is open");
-    owner.core.wake(now);
+    owner.core.run_timers(now);
     owner.carry_out();
     assert!(owner.is_done(now));
     let failed = |said: &ToClient| matches!(said, ToClient::Final { call: CALL, verdict: Verdict::Failed });
--- a/agent/src/net/owner/tests/delivery.rs
+++ b/agent/src/net/owner/tests/delivery.rs
@@ -31,7 +31,7 @@
 fn a_release_that_its_connection_does_not_take_is_given_to_one_other() {
     let (mut owner, mut first, mut other, _to_server) = with_queued_release();
     let later = owner.shared.clock.now() + LATER;
-    owner.core.wake(later);
+    owner.core.run_timers(later);
     owner.carry_out();
     assert_eq!((releases(&mut first), releases(&mut other)), (0, 1));
 }
@@ -43,7 +43,7 @@
     let line = first.next_now().expect("it was given");
     line.begins();
     let later = owner.shared.clock.now() + LATER;
-    owner.core.wake(later);
+    owner.core.run_timers(later);
     owner.carry_out();
     assert!(!line.is_cancelled());
     assert_eq!(releases(&mut other), 0);
--- a/agent/src/net/owner/tests/failover.rs
+++ b/agent/src/net/owner/tests/failover.rs
@@ -169,14 +169,14 @@
         let given = usize::from(!successor_has_given_it);
         if succeeded_first {
             sleeper.is_succeeded();
-            assert_eq!(sleeper.owner.core.promised().count(), 1, "it stays this member's");
+            assert_eq!(sleeper.owner.core.call_states().count(), 1, "it stays this member's");
         }
         assert_eq!(given_once_asked(&mut sleeper, successor_has_given_it), given);
         if !succeeded_first {
             sleeper.is_succeeded();
         }
         // It is looked after until a caller confirms it.
-        assert_eq!(sleeper.owner.core.promised().count(), given);
+        assert_eq!(sleeper.owner.core.call_states().count(), given);
     }
 }
 
--- a/agent/src/net/owner/tests/stopping.rs
+++ b/agent/src/net/owner/tests/stopping.rs
@@ -60,7 +60,7 @@
 fn answers_what_it_heard_last_before_it_ends_the_connection() {
     let (mut owner, mut inbox, _, _to_server) = with_call();
     stop(&mut owner, ANSWERS_ALL);
-    owner.core.wake(owner.shared.clock.now());
+    owner.core.run_timers(owner.shared.clock.now());
     owner.carry_out();
     let now = owner.shared.clock.now();
     owner.polled = now;
--- a/agent/src/ops/line.rs
+++ b/agent/src/ops/line.rs
@@ -1,6 +1,6 @@
 //! What a connection of the second address carries: one line, one answer.
 
-use steprelay_core::duty::State;
+use steprelay_core::lifecycle::State;
 
 use steprelay_copies::member::Figures as CopyFigures;
 use steprelay_fleet::node::Figures as FleetFigures;
--- a/agent/src/ports/copies.rs
+++ b/agent/src/ports/copies.rs
@@ -6,16 +6,16 @@
 
 use steprelay_copies::member::Question;
 use steprelay_copies::{Call, Record};
-use steprelay_core::{Promise, ReleaseCause};
+use steprelay_core::{CallState, ReleaseCause};
 use steprelay_decisions::{CallId, ServerId};
 
 /// Of the owner of the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
     /// A promise has changed; `None`: nothing is promised of the call any more.
-    Promise(CallId, Option<Promise>),
+    Promise(CallId, Option<CallState>),
     /// Some were lost on the way: all that is promised now.
-    All(Vec<(CallId, Promise)>),
+    All(Vec<(CallId, CallState)>),
     /// A release of a call that was not known here was given.
     PassedOn(CallId),
     /// The caller of a call has acknowledged its release; ahead of the promise that ends with that.
@@ -29,19 +29,19 @@
     Relinquished(Vec<CallId>),
 }
 
-pub fn record(promise: Promise) -> Record {
+pub fn record(promise: CallState) -> Record {
     match promise {
-        Promise::Out(server) => Record::Out { server: server.0 },
-        Promise::Stands(server) => Record::Stands { server: server.0 },
-        Promise::Owed(server, cause) => Record::Owed { server: server.0, cause: cause.0 },
+        CallState::AttemptPending(server) => Record::Out { server: server.0 },
+        CallState::Established(server) => Record::Stands { server: server.0 },
+        CallState::ReleasePending(server, cause) => Record::Owed { server: server.0, cause: cause.0 },
     }
 }
 
-pub fn promise(record: Record) -> Promise {
+pub fn promise(record: Record) -> CallState {
     match record {
-        Record::Out { server } => Promise::Out(ServerId(server)),
-        Record::Stands { server } => Promise::Stands(ServerId(server)),
-        Record::Owed { server, cause } => Promise::Owed(ServerId(server), ReleaseCause(cause)),
+        Record::Out { server } => CallState::AttemptPending(ServerId(server)),
+        Record::Stands { server } => CallState::Established(ServerId(server)),
+        Record::Owed { server, cause } => CallState::ReleasePending(ServerId(server), ReleaseCause(cause)),
     }
 }
 
--- a/agent/src/ports/mod.rs
+++ b/agent/src/ports/mod.rs
@@ -14,9 +14,9 @@
 use std::rc::Rc;
 
 use steprelay_copies::member::{Figures as CopyFigures, News};
-use steprelay_core::duty::{self, IsStopping};
+use steprelay_core::lifecycle::{self, AlreadyStopping};
 use steprelay_core::{
-    ClientId, Counts, LinkLoss, Peer, ReleaseCause, Request, ServerCounts, SetUp, Source, Verdict,
+    ClientId, Counts, LinkLoss, ListSource, Peer, ReleaseCause, Request, ServerCounts, SetUp, Verdict,
 };
 use steprelay_decisions::{CallId, Cause, Entry, ListKind, Micros, Report, ServerId};
 use steprelay_fleet::node::Figures as FleetFigures;
@@ -246,7 +246,7 @@
         report: Report,
     },
     Listed {
-        source: Source,
+        source: ListSource,
         kind: ListKind,
         servers: Vec<(Entry, Way)>,
     },
@@ -257,7 +257,7 @@
     /// Of whoever keeps copies of what is promised here.
     Copies(News),
     /// Operators ask whether work is taken, or change it.
-    Duty(OnDuty, oneshot::Sender<Result<duty::State, IsStopping>>),
+    Duty(OnDuty, oneshot::Sender<Result<lifecycle::State, AlreadyStopping>>),
     /// `replaced`: another process takes the new connections. `at`: when the signal came.
     Stop {
         replaced: bool,
@@ -390,7 +390,7 @@
     pub targets: usize,
     pub targets_disabled: usize,
     pub tallies: Tallies,
-    pub duty: duty::State,
+    pub duty: lifecycle::State,
     /// Check servers that get no new set-ups, and whether calls stand or set-ups are out there.
     pub held: Vec<(ServerId, bool)>,
     /// What is known of the fleet.
--- a/agent/src/serve.rs
+++ b/agent/src/serve.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use steprelay_core::duty::accepts_for;
+use steprelay_core::lifecycle::connection_accept_period;
 use steprelay_core::Core;
 use steprelay_decisions::Micros;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -73,7 +73,7 @@
     // Where the socket is inherited, SIGTERM comes when another process has it too.
     let replaced = config.inherited.is_some();
     let longest_deadline = site.deadlines.iter().copied().max().unwrap_or_default();
-    let accepts_for = Duration::from_micros(accepts_for(longest_deadline) as u64);
+    let connection_accept_period = Duration::from_micros(connection_accept_period(longest_deadline) as u64);
     spawn_local(async move {
         if let Ok(at) = terminated.await {
             // Before anything else: what still waits in its queue is for the other process.
@@ -81,7 +81,7 @@
                 accepting.send_replace(Accepts::None);
             }
             let _ = stop.send(Input::Stop { replaced, at }).await;
-            sleep(accepts_for).await;
+            sleep(connection_accept_period).await;
             accepting
                 .send_if_modified(|accepts| std::mem::replace(accepts, Accepts::Waiting) == Accepts::All);
             // Other listeners than that one are not handed on, and go on until the end.
--- a/agent/src/snmp/mib.rs
+++ b/agent/src/snmp/mib.rs
@@ -6,7 +6,7 @@
 use rasn_smi::v1::Gauge;
 use rasn_smi::v2::{ApplicationSyntax, Counter64, SimpleSyntax};
 use rasn_snmp::v2::ObjectSyntax;
-use steprelay_core::duty::State;
+use steprelay_core::lifecycle::State;
 use steprelay_core::Breach;
 use steprelay_decisions::Readiness;
 
@@ -32,7 +32,7 @@
     let counts = &snapshot.counts;
     let outcomes = [
         counts.offered,
-        counts.stood,
+        counts.established,
         counts.refused,
         counts.failed,
         counts.invalid,
@@ -70,7 +70,7 @@
             gauge(entry.number.into()),
             integer(state),
             counter(sent.attempts),
-            counter(sent.stood),
+            counter(sent.established),
             counter(sent.full),
             counter(sent.failed),
             integer(if bound.is_some() { 1 } else { 2 }),
@@ -85,7 +85,7 @@
         put(&[4, place, 0], counter(counts.breaches(breach)));
     }
     put(&[5, 1, 0], counter(bad_requests));
-    put(&[5, 2, 0], counter(counts.let_go));
+    put(&[5, 2, 0], counter(counts.evicted_clients));
     put(&[5, 3, 0], counter(snapshot.tallies.reloads_taken));
     put(&[5, 4, 0], counter(snapshot.tallies.reloads_refused));
     let duty = match snapshot.duty {
--- a/agent/src/trace.rs
+++ b/agent/src/trace.rs
@@ -93,7 +93,7 @@
             request.tenant,
             request.dest,
             request.number,
-            request.left / 1_000
+            request.remaining / 1_000
         ),
         Input::Unfit { client, call, .. } => trace!("{} unfit set-up from {}", Id(*call), client.0),
         Input::ClientEnded { client, call, cause } => {
@@ -156,25 +156,25 @@
         Effect::SetUp { server, set_up } => {
             trace!("{} set-up to server {} waits {} ms", Id(set_up.call), server.0, set_up.wait / 1_000)
         }
-        Effect::GiveUp { server, call } => trace!("{} given up at server {}", Id(*call), server.0),
+        Effect::CancelAttempt { server, call } => trace!("{} given up at server {}", Id(*call), server.0),
         Effect::Release { server, call, cause } => {
             trace!("{} released at server {} cause {}", Id(*call), server.0, cause.0)
         }
         Effect::Answer { client, call, .. } => trace!("{} answered to {}", Id(*call), client.0),
-        Effect::Final { client, call, verdict: Verdict::Refused { wait } } => {
+        Effect::FinalAnswer { client, call, verdict: Verdict::Refused { wait } } => {
             trace!("{} refused to {} wait {wait:?}, ready: {}", Id(*call), client.0, Servers(core, now))
         }
-        Effect::Final { client, call, verdict } => trace!("{} {verdict:?} to {}", Id(*call), client.0),
+        Effect::FinalAnswer { client, call, verdict } => trace!("{} {verdict:?} to {}", Id(*call), client.0),
         Effect::WithdrawRelease { client, call } => {
             trace!("{} release to {} is taken back if it has not left", Id(*call), client.0)
         }
-        Effect::AskIfSilent { client, call } => {
+        Effect::CheckUnreadInput { client, call } => {
             trace!("{} release not acknowledged by {}, which is asked for", Id(*call), client.0)
         }
         Effect::DeliveryAbandoned { call, deliveries } => {
             trace!("{} release is given up, {deliveries} connections did not acknowledge it", Id(*call))
         }
-        Effect::Released { client, call, cause } => {
+        Effect::DeliverRelease { client, call, cause } => {
             trace!("{} released to {} cause {}", Id(*call), client.0, cause.0)
         }
         _ => {}
--- a/core/src/book.rs
+++ b/core/src/accounting.rs
@@ -8,12 +8,12 @@
 
 /// Ids of calls that are over are kept until so many more are over, twice: late words about them are no
 /// news, while words about a call of an unknown id concern one that stood before this process started.
-const REMEMBERED: usize = 20_000;
+const ENDED_CALLS_PER_GENERATION: usize = 20_000;
 
 /// What must never happen: asserted in debug builds, counted and prevented in release builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
-    SentWhenOver,
+    SentWhenCallEnd,
     SecondAttempt,
     TooManyAttempts,
     SentToDraining,
@@ -24,7 +24,7 @@
 
 impl Breach {
     pub const ALL: [Breach; 7] = [
-        Breach::SentWhenOver,
+        Breach::SentWhenCallEnd,
         Breach::SecondAttempt,
         Breach::TooManyAttempts,
         Breach::SentToDraining,
@@ -50,7 +50,7 @@
     pub offered: u64,
     /// Set-ups of an id that was open or answered.
     pub repeated: u64,
-    pub stood: u64,
+    pub established: u64,
     pub refused: u64,
     pub failed: u64,
     pub invalid: u64,
@@ -69,7 +69,7 @@
     pub ended_out_of_reach: u64,
     pub answered_late: u64,
     /// Connections of clients that were ended for the sake of others.
-    pub let_go: u64,
+    pub evicted_clients: u64,
     /// By class, in the order of the settings.
     pub classes: Vec<ClassCounts>,
     breaches: [u64; Breach::ALL.len()],
@@ -84,44 +84,44 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerCounts {
     pub attempts: u64,
-    pub stood: u64,
+    pub established: u64,
     pub full: u64,
     pub failed: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum CallEnd {
     Answered,
     /// Its connection went before an answer: the same set-up may come again on another one.
-    Unheard,
+    ConnectionLost,
     /// Another member has told its caller, or is about to.
-    Elsewhere,
+    HandledElsewhere,
     /// Its attempt, of a member that was lost, was called off here: its caller was told nothing here.
-    CalledOff,
+    AttemptAborted,
 }
 
-impl Over {
+impl CallEnd {
     /// Whether its caller has its final answer, or gets it from another member if any.
     pub fn is_final(self) -> bool {
         match self {
-            Over::Answered | Over::Elsewhere | Over::CalledOff => true,
-            Over::Unheard => false,
+            CallEnd::Answered | CallEnd::HandledElsewhere | CallEnd::AttemptAborted => true,
+            CallEnd::ConnectionLost => false,
         }
     }
 }
 
 #[derive(Default)]
-pub struct Book {
+pub struct Accounting {
     pub counts: Counts,
     servers: BTreeMap<ServerId, ServerCounts>,
-    over: HashMap<CallId, Over>,
-    over_before: HashMap<CallId, Over>,
+    ended: HashMap<CallId, CallEnd>,
+    ended_before: HashMap<CallId, CallEnd>,
 }
 
-impl Book {
+impl Accounting {
     pub fn new(classes: usize) -> Self {
         let counts = Counts { classes: vec![ClassCounts::default(); classes], ..Counts::default() };
-        Book { counts, ..Book::default() }
+        Accounting { counts, ..Accounting::default() }
     }
 
     fn class(&mut self, class: Option<usize>, count: impl FnOnce(&mut ClassCounts) -> &mut u64) {
@@ -135,39 +135,39 @@
     }
 
     /// Forgets the figures of all other servers.
-    pub fn keep_servers(&mut self, shown: impl Fn(ServerId) -> bool) {
-        self.servers.retain(|server, _| shown(*server));
+    pub fn keep_servers(&mut self, is_shown: impl Fn(ServerId) -> bool) {
+        self.servers.retain(|server, _| is_shown(*server));
     }
 
-    pub fn over(&self, call: CallId) -> Option<Over> {
-        self.over.get(&call).or_else(|| self.over_before.get(&call)).copied()
+    pub fn ended(&self, call: CallId) -> Option<CallEnd> {
+        self.ended.get(&call).or_else(|| self.ended_before.get(&call)).copied()
     }
 
-    pub fn note_over(&mut self, call: CallId, over: Over) {
-        if self.over.len() >= REMEMBERED {
-            self.over_before = std::mem::take(&mut self.over);
+    pub fn record_end(&mut self, call: CallId, end: CallEnd) {
+        if self.ended.len() >= ENDED_CALLS_PER_GENERATION {
+            self.ended_before = std::mem::take(&mut self.ended);
         }
-        self.over.insert(call, over);
+        self.ended.insert(call, end);
     }
 
     /// Another member sees to it, unless its caller was told here.
-    pub fn note_unknown_over_elsewhere(&mut self, call: CallId) {
-        if self.over(call) != Some(Over::Answered) {
-            self.note_over(call, Over::Elsewhere);
+    pub fn record_end_elsewhere(&mut self, call: CallId) {
+        if self.ended(call) != Some(CallEnd::Answered) {
+            self.record_end(call, CallEnd::HandledElsewhere);
         }
     }
 
-    pub fn sent(&mut self, server: ServerId) {
+    pub fn attempt_sent(&mut self, server: ServerId) {
         self.servers.entry(server).or_default().attempts += 1;
     }
 
-    pub fn stood(&mut self, server: ServerId, class: usize) {
-        self.counts.stood += 1;
+    pub fn call_established(&mut self, server: ServerId, class: usize) {
+        self.counts.established += 1;
         self.class(Some(class), |counts| &mut counts.success);
-        self.servers.entry(server).or_default().stood += 1;
+        self.servers.entry(server).or_default().established += 1;
     }
 
-    pub fn unanswered(&mut self, server: ServerId, outcome: Outcome) {
+    pub fn attempt_unanswered(&mut self, server: ServerId, outcome: Outcome) {
         let counts = self.servers.entry(server).or_default();
         if outcome == Outcome::Full {
             counts.full += 1;
@@ -176,26 +176,26 @@
         }
     }
 
-    pub fn released(&mut self, call: CallId, server: ServerId, outcome: Outcome) {
+    pub fn call_released(&mut self, call: CallId, server: ServerId, outcome: Outcome) {
         if outcome == Outcome::Reset {
             self.counts.cut += 1;
             self.servers.entry(server).or_default().failed += 1;
         } else {
             self.counts.released += 1;
         }
-        self.note_over(call, Over::Answered);
+        self.record_end(call, CallEnd::Answered);
     }
 
     /// A set-up that no request could be made of was answered; its id may be any.
-    pub fn misread(&mut self, class: Option<usize>) {
+    pub fn invalid_set_up(&mut self, class: Option<usize>) {
         self.counts.invalid += 1;
         self.class(class, |counts| &mut counts.error);
     }
 
     /// A final answer was given to a call that does not stand.
-    pub fn verdict(&mut self, call: CallId, class: Option<usize>, verdict: Verdict) {
-        if self.over(call).is_some_and(Over::is_final) {
-            self.breach(Breach::AnsweredTwice);
+    pub fn final_answer(&mut self, call: CallId, class: Option<usize>, verdict: Verdict) {
+        if self.ended(call).is_some_and(CallEnd::is_final) {
+            self.record_breach(Breach::AnsweredTwice);
         }
         match verdict {
             Verdict::Refused { .. } => {
@@ -211,10 +211,10 @@
                 self.class(class, |counts| &mut counts.error);
             }
         }
-        self.note_over(call, Over::Answered);
+        self.record_end(call, CallEnd::Answered);
     }
 
-    pub fn breach(&mut self, breach: Breach) {
+    pub fn record_breach(&mut self, breach: Breach) {
         self.counts.breaches[breach as usize] += 1;
         debug_assert!(false, "must not happen: {breach:?}");
     }
--- a/core/src/admit.rs
+++ b/core/src/admit.rs
@@ -6,43 +6,48 @@
 use super::Request;
 
 /// Where the settings name no bound.
-const MOST_OPEN: usize = 20_000;
+const DEFAULT_MAX_OPEN_CALLS: usize = 20_000;
 /// One client may have this part of them open, but so many in any case.
-const PART_OF_ONE: usize = 4;
-const OF_ONE: usize = 64;
+const CLIENT_SHARE_DIVISOR: usize = 4;
+const MIN_OPEN_CALLS_PER_CLIENT: usize = 64;
 
 pub struct Admission {
-    most_open: usize,
-    most_held: usize,
+    max_open: usize,
+    max_bytes: usize,
     open: usize,
-    held: usize,
+    bytes: usize,
 }
 
 impl Admission {
     /// Descriptions and numbers of all waiting calls together take up `most_held` bytes at most.
-    pub fn new(site: &Site, most_held: usize) -> Self {
-        let most_open = if site.max_open > 0 { site.max_open.min(MOST_OPEN) } else { MOST_OPEN };
-        Admission { most_open, most_held, open: 0, held: 0 }
+    pub fn new(site: &Site, max_bytes: usize) -> Self {
+        let max_open = if site.max_open > 0 {
+            site.max_open.min(DEFAULT_MAX_OPEN_CALLS)
+        } else {
+            DEFAULT_MAX_OPEN_CALLS
+        };
+        Admission { max_open, max_bytes, open: 0, bytes: 0 }
     }
 
     /// Takes up room for a request of a client with so many open; false where there is none.
-    pub fn admit(&mut self, request: &Request, of_client: usize) -> bool {
-        let size = held(&request.number, &request.description);
-        let most_of_one = (self.most_open / PART_OF_ONE).max(OF_ONE);
-        if self.open >= self.most_open || of_client >= most_of_one || self.held + size > self.most_held {
+    pub fn admit(&mut self, request: &Request, open_of_client: usize) -> bool {
+        let size = size(&request.number, &request.description);
+        let max_of_client = (self.max_open / CLIENT_SHARE_DIVISOR).max(MIN_OPEN_CALLS_PER_CLIENT);
+        if self.open >= self.max_open || open_of_client >= max_of_client || self.bytes + size > self.max_bytes
+        {
             return false;
         }
         self.open += 1;
-        self.held += size;
+        self.bytes += size;
         true
     }
 
-    pub fn leave(&mut self, number: &str, description: &str) {
+    pub fn remove(&mut self, number: &str, description: &str) {
         self.open -= 1;
-        self.held -= held(number, description);
+        self.bytes -= size(number, description);
     }
 }
 
-fn held(number: &str, description: &str) -> usize {
+fn size(number: &str, description: &str) -> usize {
     number.len() + description.len()
 }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -4,22 +4,22 @@
 //! time and takes the effects that follow. A request passes one stage after the other: [`take_in`],
 //! [`admit`], [`route`], [`send`], [`relay`]; [`book`] counts what became of it.
 
+mod accounting;
 mod admit;
-mod book;
-mod bound;
+mod call_state;
 mod cause;
+mod circuit_call;
 mod clients;
 mod delivery;
-pub mod duty;
-mod promise;
+pub mod lifecycle;
 mod relay;
 mod round_trip;
 mod route;
 mod send;
-mod take_in;
 #[cfg(test)]
 mod tests;
 mod unclaimed;
+mod validate;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -28,27 +28,27 @@
 use steprelay_decisions::{Action, CallId, Entry, Event, ListKind, Micros, Report, ServerId, Timer};
 use steprelay_settings::Site;
 
+use accounting::Accounting;
+pub use accounting::{Breach, ClassCounts, Counts, ServerCounts};
 use admit::Admission;
-use book::Book;
-pub use book::{Breach, ClassCounts, Counts, ServerCounts};
-pub use bound::BoundCall;
+pub use call_state::CallState;
+use call_state::Replication;
 pub use cause::ReleaseCause;
+pub use circuit_call::CircuitCall;
 use clients::Clients;
-pub use clients::{Bounds, ClientId, Peer};
-use delivery::{Deliveries, KEPT_IDLE_FOR, KEPT_OPEN_FOR};
-use duty::Duty;
-pub use promise::Promise;
-use promise::Promises;
-use relay::Relay;
+pub use clients::{ClientId, CoreLimits, Peer};
+use delivery::{Deliveries, DRAIN_ACK_GRACE, IDLE_ACK_GRACE};
+use lifecycle::Lifecycle;
+use relay::EstablishedCalls;
 use route::Route;
 pub use send::NotSent;
-use send::Pending;
+use send::PendingCall;
 use unclaimed::UnclaimedReleases;
 
 /// A list of servers is kept for each place that names them, so that a whole list replaces only its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Source {
-    Board,
+pub enum ListSource {
+    Discovery,
     M3ua,
 }
 
@@ -64,8 +64,8 @@
     pub number: Rc<str>,
     pub description: Rc<str>,
     /// When its last byte came, and how long its caller waited from then on.
-    pub came: Micros,
-    pub left: Micros,
+    pub received_at: Micros,
+    pub remaining: Micros,
     pub was_cut: bool,
 }
 
@@ -76,12 +76,12 @@
         server: ServerId,
         set_up: SetUp,
     },
-    GiveUp {
+    CancelAttempt {
         server: ServerId,
         call: CallId,
     },
     /// A set-up is taken back if it has not left; where it was, that is told as one that was not sent.
-    Withdraw {
+    WithdrawSetUp {
         server: ServerId,
         call: CallId,
     },
@@ -98,12 +98,12 @@
         call: CallId,
         description: Rc<str>,
     },
-    Final {
+    FinalAnswer {
         client: ClientId,
         call: CallId,
         verdict: Verdict,
     },
-    Released {
+    DeliverRelease {
         client: ClientId,
         call: CallId,
         cause: ReleaseCause,
@@ -116,7 +116,7 @@
     },
     /// Where nothing waits on the client's connection that was not handed on, that is told as
     /// [`Core::client_silent`].
-    AskIfSilent {
+    CheckUnreadInput {
         client: ClientId,
         call: CallId,
     },
@@ -131,7 +131,7 @@
     },
     /// The client's connection is ended if nothing has come on it besides so many inputs: nothing waits on it
     /// for an answer then. Otherwise it is asked for again.
-    LetGo {
+    CloseIfIdle {
         client: ClientId,
         inputs: u64,
     },
@@ -152,21 +152,21 @@
     },
     /// What is promised of a call has changed, `None` for nothing any more; where it was asked for. `by`:
     /// when its caller must have heard of it, where that follows from it.
-    Promised {
+    CallStateChanged {
         call: CallId,
-        promise: Option<Promise>,
-        by: Option<Micros>,
+        state: Option<CallState>,
+        notify_by: Option<Micros>,
     },
     /// A caller has acknowledged the release of a call; where promises are told.
-    Acknowledged {
+    ReleaseAcknowledged {
         call: CallId,
     },
     /// The end of a call that was not known here is passed on; where promises are told.
-    PassedOn {
+    AnnounceRelease {
         call: CallId,
     },
     /// The caller of a call, which another member is about to see to, was told here that it is over.
-    Given {
+    ReleaseDelivered {
         call: CallId,
     },
     Log(String),
@@ -209,28 +209,28 @@
 }
 
 /// How often connections that only hold a place are looked for.
-const SWEEP: Micros = 250_000;
+const IDLE_SWEEP_INTERVAL: Micros = 250_000;
 /// How often quiet connections are looked for while clients are sent away.
-const LET_GO: Micros = 20_000;
+const DRAIN_SWEEP_INTERVAL: Micros = 20_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Wake {
+enum TimerEvent {
     Tick,
-    Resume(CallId),
+    CallTimer(CallId),
     /// The end of this attempt's time.
-    Stop(CallId, u32),
+    AttemptTimeout(CallId, u32),
     /// The end of the call's time, whatever is out.
-    Deadline(CallId),
+    AnswerDeadline(CallId),
     /// A release that is not acknowledged is looked at again.
-    Delivery(CallId),
+    DeliveryCheck(CallId),
     /// No member has claimed this release in time.
-    Unclaimed(CallId),
+    ClaimTimeout(CallId),
     /// Connections that only hold a place are looked for.
-    Sweep,
+    IdleSweep,
     /// Clients are sent away.
-    LetGo,
+    DrainSweep,
     /// The process ends soon: all that is open is answered.
-    AnswerAll,
+    FinalAnswers,
 }
 
 pub struct Core {
@@ -238,38 +238,38 @@
     admission: Admission,
     route: Route,
     clients: Clients,
-    pending: BTreeMap<CallId, Pending>,
-    relay: Relay,
+    pending: BTreeMap<CallId, PendingCall>,
+    established: EstablishedCalls,
     deliveries: Deliveries,
-    book: Book,
-    duty: Duty,
-    promises: Promises,
+    accounting: Accounting,
+    lifecycle: Lifecycle,
+    replication: Replication,
     unclaimed: UnclaimedReleases,
     /// A look for quiet connections is due.
-    letting_go: bool,
-    wakes: BinaryHeap<Reverse<(Micros, Wake)>>,
+    drain_sweep_scheduled: bool,
+    timers: BinaryHeap<Reverse<(Micros, TimerEvent)>>,
     actions: VecDeque<Action>,
     effects: Vec<Effect>,
 }
 
 impl Core {
-    pub fn new(site: Site, bounds: Bounds, seed: u64, now: Micros) -> Self {
+    pub fn new(site: Site, limits: CoreLimits, seed: u64, now: Micros) -> Self {
         let route = Route::new(&site, seed, now);
         let site_classes = site.class_names.len();
         Core {
-            admission: Admission::new(&site, bounds.bytes),
+            admission: Admission::new(&site, limits.pending_call_bytes),
             route,
             site,
-            clients: Clients::new(bounds),
+            clients: Clients::new(limits),
             pending: BTreeMap::new(),
-            relay: Relay::default(),
+            established: EstablishedCalls::default(),
             deliveries: Deliveries::default(),
-            book: Book::new(site_classes),
-            duty: Duty::default(),
-            promises: Promises::default(),
+            accounting: Accounting::new(site_classes),
+            lifecycle: Lifecycle::default(),
+            replication: Replication::default(),
             unclaimed: UnclaimedReleases::default(),
-            letting_go: false,
-            wakes: BinaryHeap::from([Reverse((now + SWEEP, Wake::Sweep))]),
+            drain_sweep_scheduled: false,
+            timers: BinaryHeap::from([Reverse((now + IDLE_SWEEP_INTERVAL, TimerEvent::IdleSweep))]),
             actions: VecDeque::new(),
             effects: Vec::new(),
         }
@@ -281,132 +281,134 @@
     }
 
     /// Whether a set-up is about to leave.
-    pub fn sends(&self) -> bool {
+    pub fn has_set_up_to_send(&self) -> bool {
         self.effects.iter().any(|effect| matches!(effect, Effect::SetUp { .. }))
     }
 
-    pub fn next_wake(&self) -> Option<Micros> {
-        self.wakes.peek().map(|Reverse((at, _))| *at)
+    pub fn next_timer(&self) -> Option<Micros> {
+        self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
     /// Set-ups taken in and not answered yet.
-    pub fn unanswered(&self) -> usize {
+    pub fn unanswered_calls(&self) -> usize {
         self.pending.len()
     }
 
     /// The caller of a call whose answer is awaited, and the server at which its attempt is out.
     pub fn attempt_of(&self, call: CallId) -> Option<(ClientId, ServerId)> {
         let pending = self.pending.get(&call)?;
-        Some((pending.client, pending.out?.server))
+        Some((pending.client, pending.in_flight?.server))
     }
 
-    pub fn standing(&self) -> usize {
-        self.relay.standing()
+    pub fn established_calls(&self) -> usize {
+        self.established.len()
     }
 
     /// Releases of calls that are not known here, of which other members are asked.
-    pub fn unclaimed(&self) -> usize {
+    pub fn unclaimed_releases(&self) -> usize {
         self.unclaimed.len()
     }
 
     pub fn counts(&self) -> &Counts {
-        &self.book.counts
+        &self.accounting.counts
     }
 
     /// The servers that were ever listed, with what was sent there and the bound of the image, if any.
     pub fn servers(&self, now: Micros) -> impl Iterator<Item = (Entry, ServerCounts, Option<f64>)> + '_ {
         self.route.entries().map(move |entry| {
-            (entry.clone(), self.book.server(entry.server), self.route.image(now, entry.server))
+            (entry.clone(), self.accounting.server(entry.server), self.route.image(now, entry.server))
         })
     }
 
-    pub fn wake(&mut self, now: Micros) {
-        while self.next_wake().is_some_and(|at| at <= now) {
-            let Some(Reverse((_, wake))) = self.wakes.pop() else { break };
-            match wake {
-                Wake::Tick => self.decide(now, Event::Timer(Timer::Tick)),
-                Wake::Resume(call) => self.decide(now, Event::Timer(Timer::Call(call))),
-                Wake::Stop(call, attempt) => self.attempt_timed_out(now, call, attempt),
-                Wake::Deadline(call) => self.deadline_passed(now, call),
-                Wake::Delivery(call) => self.delivery_due(now, call),
-                Wake::Unclaimed(call) => self.claims_over(now, call),
-                Wake::Sweep => {
-                    let unacknowledged = self.deliveries.unacknowledged(now, KEPT_IDLE_FOR);
-                    for client in self.clients.useless(now) {
+    pub fn run_timers(&mut self, now: Micros) {
+        while self.next_timer().is_some_and(|at| at <= now) {
+            let Some(Reverse((_, event))) = self.timers.pop() else { break };
+            match event {
+                TimerEvent::Tick => self.decide(now, Event::Timer(Timer::Tick)),
+                TimerEvent::CallTimer(call) => self.decide(now, Event::Timer(Timer::Call(call))),
+                TimerEvent::AttemptTimeout(call, attempt) => self.attempt_timed_out(now, call, attempt),
+                TimerEvent::AnswerDeadline(call) => self.deadline_passed(now, call),
+                TimerEvent::DeliveryCheck(call) => self.check_delivery(now, call),
+                TimerEvent::ClaimTimeout(call) => self.claims_timed_out(now, call),
+                TimerEvent::IdleSweep => {
+                    let unacknowledged = self.deliveries.unacknowledged(now, IDLE_ACK_GRACE);
+                    for client in self.clients.idle(now) {
                         if !unacknowledged.contains(&client) {
-                            self.let_go(client);
+                            self.evict(client);
                         }
                     }
-                    self.wakes.push(Reverse((now + SWEEP, Wake::Sweep)));
+                    self.timers.push(Reverse((now + IDLE_SWEEP_INTERVAL, TimerEvent::IdleSweep)));
                 }
-                Wake::LetGo => {
-                    self.letting_go = false;
-                    self.let_quiet_go(now);
+                TimerEvent::DrainSweep => {
+                    self.drain_sweep_scheduled = false;
+                    self.close_idle_clients(now);
                 }
-                Wake::AnswerAll => self.answer_all(now),
+                TimerEvent::FinalAnswers => self.answer_all(now),
             }
         }
     }
 
-    pub fn duty(&self) -> &Duty {
-        &self.duty
+    pub fn lifecycle(&self) -> &Lifecycle {
+        &self.lifecycle
     }
 
     /// Changes whether work is taken, and follows it up.
-    pub fn on_duty<R>(&mut self, now: Micros, change: impl FnOnce(&mut Duty) -> R) -> R {
-        let said = change(&mut self.duty);
-        self.let_quiet_go(now);
-        said
+    pub fn update_lifecycle<R>(&mut self, now: Micros, change: impl FnOnce(&mut Lifecycle) -> R) -> R {
+        let result = change(&mut self.lifecycle);
+        self.close_idle_clients(now);
+        result
     }
 
     /// Told to stop: everything has its final answer, and the process has ended, before it is killed.
     pub fn stop(&mut self, now: Micros, replaced: bool) {
         let longest = self.site.deadlines.iter().copied().max().unwrap_or_default();
-        self.on_duty(now, |duty| duty.stop(now, replaced, longest));
-        self.wakes.extend(self.duty.answers_all_at().map(|at| Reverse((at, Wake::AnswerAll))));
+        self.update_lifecycle(now, |lifecycle| lifecycle.stop(now, replaced, longest));
+        self.timers
+            .extend(self.lifecycle.final_answer_deadline().map(|at| Reverse((at, TimerEvent::FinalAnswers))));
     }
 
     /// While clients are sent away, has the connections let go of on which nothing waits: neither a set-up
     /// for its answer nor a release for its confirmation. Once no set-ups are taken any more, a client that
     /// never falls quiet is paused first: what crosses its end comes again elsewhere.
-    fn let_quiet_go(&mut self, now: Micros) {
-        let Some(from) = self.duty.lets_go_from() else { return };
+    fn close_idle_clients(&mut self, now: Micros) {
+        let Some(from) = self.lifecycle.drains_from() else { return };
         if now >= from {
-            let stays = self.stays(now);
-            let takes = self.duty.takes_set_ups(now);
-            for (client, inputs) in self.clients.quiet(now) {
-                if stays.contains(&client) {
+            let kept = self.clients_to_keep(now);
+            let accepts = self.lifecycle.accepts_set_ups(now);
+            for (client, inputs) in self.clients.without_open_calls(now) {
+                if kept.contains(&client) {
                     continue;
                 }
-                self.effects.push(Effect::LetGo { client, inputs });
-                if !takes {
+                self.effects.push(Effect::CloseIfIdle { client, inputs });
+                if !accepts {
                     self.effects.push(Effect::Pause { client });
                 }
             }
         }
-        if !self.letting_go {
-            self.letting_go = true;
-            self.wakes.push(Reverse((from.max(now + LET_GO), Wake::LetGo)));
+        if !self.drain_sweep_scheduled {
+            self.drain_sweep_scheduled = true;
+            self.timers.push(Reverse((from.max(now + DRAIN_SWEEP_INTERVAL), TimerEvent::DrainSweep)));
         }
     }
 
     /// Clients that are not let go of now.
-    fn stays(&self, now: Micros) -> BTreeSet<ClientId> {
-        let mut stays = self.deliveries.unacknowledged(now, KEPT_OPEN_FOR);
+    fn clients_to_keep(&self, now: Micros) -> BTreeSet<ClientId> {
+        let mut kept = self.deliveries.unacknowledged(now, DRAIN_ACK_GRACE);
         // Releases of what stands need a connection that takes them: the one that made most of the calls
         // stays for them; in the end only for its own, or it would be held idle.
-        let all = self.relay.standing() + self.deliveries.len();
-        let last = self.clients.last_to_go().filter(|(_, own)| self.duty.keeps(now, *own, all));
-        stays.extend(last.map(|(client, _)| client));
-        stays
+        let total = self.established.len() + self.deliveries.len();
+        let last =
+            self.clients.last_to_drain().filter(|(_, own)| self.lifecycle.keeps_connection(now, *own, total));
+        kept.extend(last.map(|(client, _)| client));
+        kept
     }
 
     /// A client is paused, and all that was read from it, so many inputs, has been handed on.
     pub fn client_paused(&mut self, now: Micros, client: ClientId, inputs: u64) {
-        let closes = !self.duty.takes_set_ups(now)
+        let may_close = !self.lifecycle.accepts_set_ups(now)
             && self.clients.open(client) == 0
-            && !self.stays(now).contains(&client);
-        self.effects.push(match closes {
+            && !self.clients_to_keep(now).contains(&client);
+        self.effects.push(match may_close {
             true => Effect::CloseIfPaused { client, inputs },
             false => Effect::Resume { client },
         });
@@ -423,38 +425,38 @@
     }
 
     /// Ends a client's connection for the sake of the others.
-    fn let_go(&mut self, client: ClientId) {
-        self.book.counts.let_go += 1;
+    fn evict(&mut self, client: ClientId) {
+        self.accounting.counts.evicted_clients += 1;
         self.clients.closed(client);
         self.effects.push(Effect::Close { client });
     }
 
     /// Changes of the list of servers from one place, or the whole of it.
-    pub fn list(&mut self, now: Micros, source: Source, kind: ListKind, entries: &[Entry]) {
-        let (changes, over) = self.route.merge(source, kind, entries);
+    pub fn update_servers(&mut self, now: Micros, source: ListSource, kind: ListKind, entries: &[Entry]) {
+        let (changes, ended) = self.route.merge(source, kind, entries);
         self.decide(now, Event::List { kind: ListKind::Changes, entries: &changes });
-        for (server, before) in over {
-            self.server_dead(now, server, before);
+        for (server, before) in ended {
+            self.server_process_ended(now, server, before);
         }
-        self.book.keep_servers(|server| self.route.is_shown(server));
+        self.accounting.keep_servers(|server| self.route.is_shown(server));
     }
 
     /// Has no new set-ups sent to these servers, as if they were told to drain; all others are free again.
-    pub fn hold(&mut self, now: Micros, servers: &[ServerId]) {
-        let changes = self.route.hold(servers);
+    pub fn set_held_servers(&mut self, now: Micros, servers: &[ServerId]) {
+        let changes = self.route.set_held(servers);
         if !changes.is_empty() {
             self.decide(now, Event::List { kind: ListKind::Changes, entries: &changes });
         }
     }
 
     /// The servers that are held.
-    pub fn held(&self) -> impl Iterator<Item = ServerId> + '_ {
+    pub fn held_servers(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.route.held()
     }
 
     /// Whether a server takes set-ups, as far as is told.
     pub fn is_ready(&self, server: ServerId) -> bool {
-        self.route.ready(server)
+        self.route.is_ready(server)
     }
 
     /// Whether failures keep set-ups from a server for now.
@@ -464,8 +466,9 @@
 
     /// Whether a call stands at a server or a set-up is out there.
     pub fn is_busy(&self, server: ServerId) -> bool {
-        let out = |pending: &Pending| pending.out.is_some_and(|attempt| attempt.server == server);
-        self.stands_at(server) || self.pending.values().any(out)
+        let has_attempt =
+            |pending: &PendingCall| pending.in_flight.is_some_and(|attempt| attempt.server == server);
+        self.has_established_call_at(server) || self.pending.values().any(has_attempt)
     }
 
     pub fn report(&mut self, now: Micros, server: ServerId, report: Report) {
@@ -483,16 +486,16 @@
             match action {
                 Action::Send { call, server, stop_at } => self.send(now, call, server, stop_at),
                 Action::Refuse { call, retry_after } => {
-                    self.finish(now, call, Verdict::Refused { wait: retry_after })
+                    self.send_final_answer(now, call, Verdict::Refused { wait: retry_after })
                 }
-                Action::Fail { call } => self.finish(now, call, Verdict::Failed),
+                Action::Fail { call } => self.send_final_answer(now, call, Verdict::Failed),
                 Action::Cancel { call, attempt } => self.cancel(now, call, attempt),
                 Action::SetTimer { timer, after } => {
-                    let wake = match timer {
-                        Timer::Tick => Wake::Tick,
-                        Timer::Call(call) => Wake::Resume(call),
+                    let event = match timer {
+                        Timer::Tick => TimerEvent::Tick,
+                        Timer::Call(call) => TimerEvent::CallTimer(call),
                     };
-                    self.wakes.push(Reverse((now + after, wake)));
+                    self.timers.push(Reverse((now + after, event)));
                 }
                 Action::Probe { server } => self.effects.push(Effect::Probe { server }),
                 Action::Log(text) => self.effects.push(Effect::Log(text)),
--- a/core/src/relay.rs
+++ b/core/src/relay.rs
@@ -8,76 +8,78 @@
 
 use steprelay_decisions::{CallId, Cause, End, Event, Micros, Outcome, Report, ServerId};
 
-use super::book::Over;
+use super::accounting::CallEnd;
 use super::send::Attempt;
-use super::unclaimed::{LeftTo, Unclaimed};
-use super::{BoundCall, ClientId, Core, Effect, Peer, Promise, ReleaseCause, Verdict};
+use super::unclaimed::{PriorClaim, UnclaimedRelease};
+use super::{CallState, CircuitCall, ClientId, Core, Effect, Peer, ReleaseCause, Verdict};
 
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct EstablishedCall {
     /// Who made it; nobody who is here, where another call agent had it.
     client: Option<ClientId>,
     attempt: Attempt,
     since: Micros,
 }
 
-impl Standing {
+impl EstablishedCall {
     /// One that stood at another call agent, since a time that is not known.
-    pub fn adopted(attempt: Attempt) -> Self {
-        Standing { client: None, attempt, since: 0 }
+    pub fn taken_over(attempt: Attempt) -> Self {
+        EstablishedCall { client: None, attempt, since: 0 }
     }
 
     pub fn server(&self) -> ServerId {
         self.attempt.server
     }
 
-    pub fn is_adopted(&self) -> bool {
+    pub fn is_taken_over(&self) -> bool {
         self.client.is_none()
     }
 }
 
 #[derive(Default)]
-pub struct Relay {
-    standing: BTreeMap<CallId, Standing>,
+pub struct EstablishedCalls {
+    calls: BTreeMap<CallId, EstablishedCall>,
 }
 
-impl Relay {
-    pub fn standing(&self) -> usize {
-        self.standing.len()
+impl EstablishedCalls {
+    pub fn len(&self) -> usize {
+        self.calls.len()
     }
 
     /// The client whose call stands.
-    pub fn owner(&self, call: CallId) -> Option<ClientId> {
-        self.standing.get(&call)?.client
+    pub fn client_of(&self, call: CallId) -> Option<ClientId> {
+        self.calls.get(&call)?.client
     }
 
     /// What is promised of calls that stand.
-    pub fn promised(&self) -> impl Iterator<Item = (CallId, Promise)> + '_ {
-        self.standing.iter().map(|(call, standing)| (*call, Promise::Stands(standing.attempt.server)))
+    pub fn states(&self) -> impl Iterator<Item = (CallId, CallState)> + '_ {
+        self.calls
+            .iter()
+            .map(|(call, established)| (*call, CallState::Established(established.attempt.server)))
     }
 
-    pub fn promise_of(&self, call: CallId) -> Option<Promise> {
-        Some(Promise::Stands(self.standing.get(&call)?.attempt.server))
+    pub fn state_of(&self, call: CallId) -> Option<CallState> {
+        Some(CallState::Established(self.calls.get(&call)?.attempt.server))
     }
 
-    pub fn adopt(&mut self, call: CallId, standing: Standing) {
-        self.standing.insert(call, standing);
+    pub fn insert(&mut self, call: CallId, established: EstablishedCall) {
+        self.calls.insert(call, established);
     }
 
-    pub fn take_standing(&mut self, call: CallId) -> Option<Standing> {
-        self.standing.remove(&call)
+    pub fn remove(&mut self, call: CallId) -> Option<EstablishedCall> {
+        self.calls.remove(&call)
     }
 
-    pub fn stands(&self, call: CallId) -> Option<&Standing> {
-        self.standing.get(&call)
+    pub fn get(&self, call: CallId) -> Option<&EstablishedCall> {
+        self.calls.get(&call)
     }
 }
 
 impl Core {
     /// A client's connection, or a peer of the M3UA front, is there.
     pub fn client_opened(&mut self, now: Micros, client: ClientId, peer: Option<Peer>) {
-        if let Some(spare) = self.clients.opened(client, peer, now) {
-            self.let_go(spare);
+        if let Some(evicted) = self.clients.opened(client, peer, now) {
+            self.evict(evicted);
         }
         self.deliver_pending(now);
     }
@@ -87,71 +89,72 @@
         self.clients.closed(client);
         let waiting = self.pending.iter().filter(|(_, pending)| pending.client == client);
         for call in waiting.map(|(call, _)| *call).collect::<Vec<_>>() {
-            self.abandon(now, call, Over::Unheard);
+            self.abandon(now, call, CallEnd::ConnectionLost);
         }
         self.redeliver_from(now, client);
     }
 
     /// A client can be told nothing for now, or can again. Nothing is sent for its set-ups meanwhile: what is
     /// out at a server may still be answered, and what has not left is taken back.
-    pub fn client_away(&mut self, client: ClientId, away: bool) {
-        self.clients.set_away(client, away);
-        if away {
+    pub fn set_client_unreachable(&mut self, client: ClientId, unreachable: bool) {
+        self.clients.set_unreachable(client, unreachable);
+        if unreachable {
             let waiting = self.pending.iter().filter(|(_, pending)| pending.client == client);
-            let out = waiting.filter_map(|(call, pending)| Some((*call, pending.out?.server)));
-            self.effects.extend(out.map(|(call, server)| Effect::Withdraw { server, call }));
+            let in_flight = waiting.filter_map(|(call, pending)| Some((*call, pending.in_flight?.server)));
+            self.effects.extend(in_flight.map(|(call, server)| Effect::WithdrawSetUp { server, call }));
         }
     }
 
     /// A client asks whether this call agent is well.
-    pub fn client_tested(&mut self, now: Micros, client: ClientId) {
-        self.clients.heard(client, now);
+    pub fn client_health_checked(&mut self, now: Micros, client: ClientId) {
+        self.clients.input_received(client, now);
     }
 
     /// A client gives a set-up up or releases a call that stands.
     pub fn client_ended(&mut self, now: Micros, client: ClientId, call: CallId, cause: ReleaseCause) {
-        self.clients.heard(client, now);
+        self.clients.input_received(client, now);
         if self.pending.contains_key(&call) {
-            return self.abandon(now, call, Over::Answered);
+            return self.abandon(now, call, CallEnd::Answered);
         }
-        if let Some(standing) = self.relay.standing.remove(&call) {
-            self.promise(call, None, None);
-            self.effects.push(Effect::Release { server: standing.attempt.server, call, cause });
-            return self.call_over(now, call, standing, Outcome::Cancelled, Report::default());
+        if let Some(established) = self.established.calls.remove(&call) {
+            self.publish_state(call, None, None);
+            self.effects.push(Effect::Release { server: established.attempt.server, call, cause });
+            return self.end_established(now, call, established, Outcome::Cancelled, Report::default());
         }
-        if self.book.over(call).is_none() {
+        if self.accounting.ended(call).is_none() {
             // It stood before this process started. Which server has it is not known here: the one that does
             // releases it, and the others know no such call.
             let servers: Vec<_> = self.route.entries().map(|entry| entry.server).collect();
             for server in servers {
                 self.effects.push(Effect::Release { server, call, cause });
             }
-            self.book.note_over(call, Over::Answered);
-            self.pass_on_to_members(call);
+            self.accounting.record_end(call, CallEnd::Answered);
+            self.announce_release(call);
         }
     }
 
     /// A server has answered.
     pub fn server_answered(&mut self, now: Micros, server: ServerId, call: CallId, description: Rc<str>) {
-        let out = self.pending.get(&call).and_then(|pending| pending.out);
-        let Some(attempt) = out.filter(|attempt| attempt.server == server) else {
-            let again = self.relay.stands(call).is_some_and(|standing| standing.attempt.server == server);
-            if !again {
+        let in_flight = self.pending.get(&call).and_then(|pending| pending.in_flight);
+        let Some(attempt) = in_flight.filter(|attempt| attempt.server == server) else {
+            let is_repeated =
+                self.established.get(call).is_some_and(|established| established.attempt.server == server);
+            if !is_repeated {
                 // Given up before the answer arrived, or never asked for: nobody is at the other end of it.
                 // What the server says to the release is not news of a call from before this process started.
-                if !self.pending.contains_key(&call) && self.book.over(call).is_none() {
-                    self.book.note_over(call, Over::Answered);
+                if !self.pending.contains_key(&call) && self.accounting.ended(call).is_none() {
+                    self.accounting.record_end(call, CallEnd::Answered);
                 }
                 self.effects.push(Effect::Release { server, call, cause: ReleaseCause::NORMAL });
             }
             return;
         };
-        let Some(pending) = self.forget(call) else { return };
+        let Some(pending) = self.remove_pending(call) else { return };
         let client = pending.client;
-        self.relay.standing.insert(call, Standing { client: Some(client), attempt, since: now });
-        self.promise(call, Some(Promise::Stands(server)), Some(pending.answer_by));
-        self.book.stood(server, pending.class);
-        self.clients.stood(client);
+        self.established.calls.insert(call, EstablishedCall { client: Some(client), attempt, since: now });
+        self.publish_state(call, Some(CallState::Established(server)), Some(pending.answer_deadline));
+        self.accounting.call_established(server, pending.class);
+        self.clients.call_established(client);
         self.effects.push(Effect::Answer { client, call, description });
         let lag = now - attempt.sent;
         self.decide(now, Event::First { call, server, attempt: attempt.number, lag });
@@ -167,8 +170,8 @@
         note: Cause,
         report: Report,
     ) {
-        let out = self.pending.get(&call).and_then(|pending| pending.out);
-        if let Some(attempt) = out.filter(|attempt| attempt.server == server) {
+        let in_flight = self.pending.get(&call).and_then(|pending| pending.in_flight);
+        if let Some(attempt) = in_flight.filter(|attempt| attempt.server == server) {
             let end = attempt.ended(now, call, cause.outcome_before_answer());
             let proven =
                 self.pending.get(&call).is_some_and(|pending| self.clients.is_proven(pending.client));
@@ -178,48 +181,57 @@
             };
             return self.end_attempt(now, End { cause: note, report, ..end });
         }
-        let standing = self.relay.stands(call).filter(|standing| standing.attempt.server == server);
-        if let Some(&standing) = standing {
-            self.relay.standing.remove(&call);
-            self.release_standing(now, server, call, standing, cause);
-            return self.call_over(now, call, standing, cause.outcome_after_answer(), report);
+        let established =
+            self.established.get(call).filter(|established| established.attempt.server == server);
+        if let Some(&established) = established {
+            self.established.calls.remove(&call);
+            self.release_established(now, server, call, established, cause);
+            return self.end_established(now, call, established, cause.outcome_after_answer(), report);
         }
         self.report(now, server, report);
         if !self.pending.contains_key(&call)
-            && self.relay.stands(call).is_none()
-            && (self.book.over(call).is_none() || self.is_left_to_another(call))
+            && self.established.get(call).is_none()
+            && (self.accounting.ended(call).is_none() || self.is_left_to_other_member(call))
         {
             // It stood before this process started; its caller still waits for the release.
-            let left = if self.is_left_to_another(call) { LeftTo::Another } else { LeftTo::Nobody };
-            self.book.counts.released_unknown += 1;
-            self.book.note_over(call, Over::Answered);
-            let client = BoundCall::of(call).map(BoundCall::client_id);
-            if client.is_none() && self.promises_are_told() {
-                return self.hold_unclaimed(now, call, Unclaimed { client, server, cause, left });
+            let prior_claim = if self.is_left_to_other_member(call) {
+                PriorClaim::OtherMember
+            } else {
+                PriorClaim::Unclaimed
+            };
+            self.accounting.counts.released_unknown += 1;
+            self.accounting.record_end(call, CallEnd::Answered);
+            let client = CircuitCall::of(call).map(CircuitCall::client_id);
+            if client.is_none() && self.is_replicated() {
+                return self.hold_for_claims(
+                    now,
+                    call,
+                    UnclaimedRelease { client, server, cause, prior_claim },
+                );
             }
-            self.release_to(now, client, server, call, cause);
+            self.start_delivery(now, client, server, call, cause);
         }
     }
 
     /// Gives the release of a call that stood here, or asks first where another member may have given it.
-    fn release_standing(
+    fn release_established(
         &mut self,
         now: Micros,
         server: ServerId,
         call: CallId,
-        standing: Standing,
+        established: EstablishedCall,
         cause: ReleaseCause,
     ) {
-        let client = standing.client;
+        let client = established.client;
         // Calls that are bound to circuits are no other member's.
-        if self.is_doubted(standing.since) && BoundCall::of(call).is_none() {
-            let left = LeftTo::Nobody;
-            return self.hold_unclaimed(now, call, Unclaimed { client, server, cause, left });
+        if self.is_ownership_uncertain(established.since) && CircuitCall::of(call).is_none() {
+            let prior_claim = PriorClaim::Unclaimed;
+            return self.hold_for_claims(now, call, UnclaimedRelease { client, server, cause, prior_claim });
         }
-        if standing.is_adopted() {
-            self.pass_on_to_members(call);
+        if established.is_taken_over() {
+            self.announce_release(call);
         }
-        self.release_to(now, client, server, call, cause);
+        self.start_delivery(now, client, server, call, cause);
     }
 
     /// A server has released a call on a connection that was let go of meanwhile. It was told already that
@@ -232,75 +244,75 @@
     }
 
     /// Whether any call stands at a server.
-    pub fn stands_at(&self, server: ServerId) -> bool {
-        self.relay.standing.values().any(|standing| standing.attempt.server == server)
+    pub fn has_established_call_at(&self, server: ServerId) -> bool {
+        self.established.calls.values().any(|established| established.attempt.server == server)
     }
 
     /// A server's process is over, and with it what came to stand there before this time.
-    pub(super) fn server_dead(&mut self, now: Micros, server: ServerId, before: Micros) {
+    pub(super) fn server_process_ended(&mut self, now: Micros, server: ServerId, before: Micros) {
         let cut = self
-            .relay
-            .standing
+            .established
+            .calls
             .iter()
-            .filter(|(_, standing)| standing.attempt.server == server && standing.since < before)
-            .filter(|(_, standing)| !self.is_doubted(standing.since));
-        for (call, standing) in cut.map(|(call, standing)| (*call, *standing)).collect::<Vec<_>>() {
-            self.relay.standing.remove(&call);
-            self.release_standing(now, server, call, standing, ReleaseCause::TEMPORARY);
-            self.call_over(now, call, standing, Outcome::Reset, Report::default());
+            .filter(|(_, established)| established.attempt.server == server && established.since < before)
+            .filter(|(_, established)| !self.is_ownership_uncertain(established.since));
+        for (call, established) in cut.map(|(call, established)| (*call, *established)).collect::<Vec<_>>() {
+            self.established.calls.remove(&call);
+            self.release_established(now, server, call, established, ReleaseCause::TEMPORARY);
+            self.end_established(now, call, established, Outcome::Reset, Report::default());
         }
-        self.note_gone(server, before);
+        self.defer_server_end(server, before);
     }
 
     /// A server has been out of reach for longer than what stood there can be left without a release; returns
     /// how many calls ended with that.
-    pub fn out_of_reach(&mut self, now: Micros, server: ServerId) -> usize {
-        let at_server = |(_, standing): &(&CallId, &Standing)| standing.attempt.server == server;
+    pub fn server_unreachable(&mut self, now: Micros, server: ServerId) -> usize {
+        let at_server = |(_, established): &(&CallId, &EstablishedCall)| established.attempt.server == server;
         let calls: Vec<CallId> =
-            self.relay.standing.iter().filter(at_server).map(|(call, _)| *call).collect();
-        self.server_dead(now, server, Micros::MAX);
+            self.established.calls.iter().filter(at_server).map(|(call, _)| *call).collect();
+        self.server_process_ended(now, server, Micros::MAX);
         let ended: Vec<CallId> =
-            calls.into_iter().filter(|call| self.relay.stands(*call).is_none()).collect();
+            calls.into_iter().filter(|call| self.established.get(*call).is_none()).collect();
         // One that was only cut off still has them when it is back.
         let release = |&call: &CallId| Effect::Release { server, call, cause: ReleaseCause::TEMPORARY };
         self.effects.extend(ended.iter().map(release));
         let ended = ended.len();
-        self.book.counts.servers_out_of_reach += 1;
-        self.book.counts.ended_out_of_reach += ended as u64;
+        self.accounting.counts.servers_out_of_reach += 1;
+        self.accounting.counts.ended_out_of_reach += ended as u64;
         ended
     }
 
-    pub(super) fn call_over(
+    pub(super) fn end_established(
         &mut self,
         now: Micros,
         call: CallId,
-        over: Standing,
+        established: EstablishedCall,
         outcome: Outcome,
         report: Report,
     ) {
-        self.book.released(call, over.attempt.server, outcome);
-        let end = End { last: true, report, ..over.attempt.ended(now, call, outcome) };
-        self.stands_no_more(now, over, end);
+        self.accounting.call_released(call, established.attempt.server, outcome);
+        let end = End { last: true, report, ..established.attempt.ended(now, call, outcome) };
+        self.report_end(now, established, end);
     }
 
     /// A call is another's from now on.
-    pub(super) fn let_standing_go(&mut self, now: Micros, call: CallId, standing: Standing) {
-        let end = End { last: true, ..standing.attempt.ended(now, call, Outcome::Ok) };
-        self.stands_no_more(now, standing, end);
+    pub(super) fn hand_off_established(&mut self, now: Micros, call: CallId, established: EstablishedCall) {
+        let end = End { last: true, ..established.attempt.ended(now, call, Outcome::Ok) };
+        self.report_end(now, established, end);
     }
 
-    fn stands_no_more(&mut self, now: Micros, over: Standing, end: End) {
-        over.client.into_iter().for_each(|client| self.clients.over(client));
+    fn report_end(&mut self, now: Micros, established: EstablishedCall, end: End) {
+        established.client.into_iter().for_each(|client| self.clients.call_ended(client));
         self.decide(now, Event::Ended(end));
     }
 
     /// Gives a call its final answer.
-    pub(super) fn finish(&mut self, now: Micros, call: CallId, verdict: Verdict) {
-        let Some(pending) = self.forget(call) else { return };
-        if now > pending.answer_by + super::take_in::ANSWER_MARGIN {
-            self.book.counts.answered_late += 1;
+    pub(super) fn send_final_answer(&mut self, now: Micros, call: CallId, verdict: Verdict) {
+        let Some(pending) = self.remove_pending(call) else { return };
+        if now > pending.answer_deadline + super::validate::ANSWER_MARGIN {
+            self.accounting.counts.answered_late += 1;
         }
-        self.book.verdict(call, Some(pending.class), verdict);
-        self.effects.push(Effect::Final { client: pending.client, call, verdict });
+        self.accounting.final_answer(call, Some(pending.class), verdict);
+        self.effects.push(Effect::FinalAnswer { client: pending.client, call, verdict });
     }
 }
--- a/core/src/round_trip.rs
+++ b/core/src/round_trip.rs
@@ -7,12 +7,12 @@
 pub struct RoundTrips(Option<(Micros, Micros)>);
 
 impl RoundTrips {
-    pub fn measured(&mut self, round_trip: Micros) {
+    pub fn record(&mut self, round_trip: Micros) {
         self.0 = Some(match self.0 {
             None => (round_trip, round_trip / 2),
             Some((mean, deviation)) => {
-                let away = (mean - round_trip).abs();
-                (mean - mean / 8 + round_trip / 8, deviation - deviation / 4 + away / 4)
+                let difference = (mean - round_trip).abs();
+                (mean - mean / 8 + round_trip / 8, deviation - deviation / 4 + difference / 4)
             }
         });
     }
--- a/core/src/route.rs
+++ b/core/src/route.rs
@@ -5,16 +5,16 @@
 use steprelay_decisions::{Action, Controller, Entry, Event, ListKind, Micros, Readiness, ServerId};
 use steprelay_settings::Site;
 
-use super::Source;
+use super::ListSource;
 
 /// Servers that are gone are shown until there are so many. Guards a process that runs for months at a site
 /// that replaces its servers all the time.
-const MOST_GONE: usize = 16;
+const MAX_GONE_SERVERS: usize = 16;
 
 pub struct Route {
     controller: Controller,
     /// As they count: one that is held drains, whatever its place in the list says.
-    entries: BTreeMap<ServerId, (Source, Entry)>,
+    entries: BTreeMap<ServerId, (ListSource, Entry)>,
     /// Servers that are held, with what the list says of them (if it names them).
     held: BTreeMap<ServerId, Option<Readiness>>,
     scratch: Vec<Action>,
@@ -48,7 +48,7 @@
         self.entries.get(&server).is_some_and(|(_, entry)| entry.state != Readiness::Gone)
     }
 
-    pub fn ready(&self, server: ServerId) -> bool {
+    pub fn is_ready(&self, server: ServerId) -> bool {
         self.entries.get(&server).is_some_and(|(_, entry)| entry.state == Readiness::Ready)
     }
 
@@ -69,13 +69,14 @@
     }
 
     /// Holds these servers and no others; returns the entries that changed by it.
-    pub fn hold(&mut self, servers: &[ServerId]) -> Vec<Entry> {
+    pub fn set_held(&mut self, servers: &[ServerId]) -> Vec<Entry> {
         let mut changes = Vec::new();
-        let freed: Vec<ServerId> = self.held.keys().filter(|held| !servers.contains(held)).copied().collect();
-        for server in freed {
-            let told = self.held.remove(&server).flatten();
-            if let (Some(told), Some((_, entry))) = (told, self.entries.get_mut(&server)) {
-                if std::mem::replace(&mut entry.state, told) != told {
+        let released: Vec<ServerId> =
+            self.held.keys().filter(|held| !servers.contains(held)).copied().collect();
+        for server in released {
+            let listed = self.held.remove(&server).flatten();
+            if let (Some(listed), Some((_, entry))) = (listed, self.entries.get_mut(&server)) {
+                if std::mem::replace(&mut entry.state, listed) != listed {
                     changes.push(entry.clone());
                 }
             }
@@ -84,15 +85,15 @@
             if self.held.contains_key(server) {
                 continue;
             }
-            let told = self.entries.get_mut(server).map(|(_, entry)| {
-                let told = entry.state;
-                entry.state = drained(told);
-                if entry.state != told {
+            let listed = self.entries.get_mut(server).map(|(_, entry)| {
+                let listed = entry.state;
+                entry.state = drained(listed);
+                if entry.state != listed {
                     changes.push(entry.clone());
                 }
-                told
+                listed
             });
-            self.held.insert(*server, told);
+            self.held.insert(*server, listed);
         }
         changes
     }
@@ -105,47 +106,47 @@
     /// over, with the time before which calls came to stand in it.
     pub fn merge(
         &mut self,
-        source: Source,
+        source: ListSource,
         kind: ListKind,
         entries: &[Entry],
     ) -> (Vec<Entry>, Vec<(ServerId, Micros)>) {
-        let gone = |entry: &Entry| entry.state == Readiness::Gone;
-        if self.entries.values().filter(|(_, entry)| gone(entry)).count() >= MOST_GONE {
-            self.entries.retain(|_, (_, entry)| !gone(entry));
+        let is_gone = |entry: &Entry| entry.state == Readiness::Gone;
+        if self.entries.values().filter(|(_, entry)| is_gone(entry)).count() >= MAX_GONE_SERVERS {
+            self.entries.retain(|_, (_, entry)| !is_gone(entry));
         }
         let mut changes = entries.to_vec();
         if matches!(kind, ListKind::All | ListKind::Remembered) {
             // A whole list names all there are in its place: the others are gone, and told as such.
-            let missing = self.entries.values().filter(|(place, entry)| {
-                *place == source
+            let missing = self.entries.values().filter(|(listed_by, entry)| {
+                *listed_by == source
                     && entry.state != Readiness::Gone
                     && !entries.iter().any(|listed| listed.server == entry.server)
             });
             changes.extend(missing.map(|(_, entry)| Entry { state: Readiness::Gone, ..entry.clone() }));
         }
         for entry in &mut changes {
-            if let Some(told) = self.held.get_mut(&entry.server) {
-                *told = Some(entry.state);
+            if let Some(listed) = self.held.get_mut(&entry.server) {
+                *listed = Some(entry.state);
                 entry.state = drained(entry.state);
             }
         }
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for entry in &changes {
             let before = self.entries.insert(entry.server, (source, entry.clone()));
             let restarted = before.is_some_and(|(_, before)| before.started != entry.started);
             match entry.started {
-                _ if entry.state == Readiness::Gone => over.push((entry.server, Micros::MAX)),
-                Some(started) if restarted => over.push((entry.server, started)),
+                _ if entry.state == Readiness::Gone => ended.push((entry.server, Micros::MAX)),
+                Some(started) if restarted => ended.push((entry.server, started)),
                 _ => {}
             }
         }
-        (changes, over)
+        (changes, ended)
     }
 }
 
 /// How a server that is held counts, by what the list says of it.
-fn drained(told: Readiness) -> Readiness {
-    match told {
+fn drained(listed: Readiness) -> Readiness {
+    match listed {
         Readiness::Ready => Readiness::Draining,
         other => other,
     }
--- a/core/src/send.rs
+++ b/core/src/send.rs
@@ -6,15 +6,15 @@
 
 use steprelay_decisions::{CallId, Cause, End, Event, Micros, Outcome, Report, ServerId};
 
-use super::book::Over;
-use super::take_in::{answer_by, Unfit};
-use super::{Breach, ClientId, Core, Effect, LinkLoss, Promise, Request, SetUp, Verdict, Wake};
+use super::accounting::CallEnd;
+use super::validate::{answer_deadline, ValidationError};
+use super::{Breach, CallState, ClientId, Core, Effect, LinkLoss, Request, SetUp, TimerEvent, Verdict};
 
 /// Who is sent away comes back after this, since others serve it: its connection is quiet and closed by then.
-const ELSEWHERE: Micros = 100_000;
+const DRAIN_RETRY_AFTER: Micros = 100_000;
 
 /// A process that looks at its connections so late was held up.
-const LATE_POLL: Micros = 100_000;
+const LATE_POLL_THRESHOLD: Micros = 100_000;
 
 /// Why a set-up did not leave for its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,22 +51,22 @@
 }
 
 /// A call that was taken in and has no final answer.
-pub struct Pending {
+pub struct PendingCall {
     pub client: ClientId,
     pub class: usize,
     pub number: Rc<str>,
     pub description: Rc<str>,
     /// When its final answer has to leave.
-    pub answer_by: Micros,
-    pub out: Option<Attempt>,
+    pub answer_deadline: Micros,
+    pub in_flight: Option<Attempt>,
     pub attempts: u32,
     /// Nothing is sent for it before this, since what an earlier attempt held may still be taken.
     pub not_before: Micros,
 }
 
 /// When a set-up is taken to have come that is read now.
-fn came_at(now: Micros, polled: Micros) -> Micros {
-    if now - polled > LATE_POLL {
+fn arrival_time(now: Micros, polled: Micros) -> Micros {
+    if now - polled > LATE_POLL_THRESHOLD {
         polled
     } else {
         now
@@ -81,78 +81,83 @@
     /// held up, the set-up may have come at any moment since, and counts as taken in time where it can have
     /// been.
     pub fn offer(&mut self, now: Micros, polled: Micros, client: ClientId, request: Request) {
-        if !self.clients.is_here(client) {
+        if !self.clients.is_connected(client) {
             return;
         }
-        self.clients.heard(client, now);
-        self.book.counts.offered += 1;
-        let unfit = match self.take_in(now, &request) {
-            Ok(_) if !self.duty.takes(came_at(now, polled), answer_by(&request)) || self.is_short() => {
-                Verdict::Refused { wait: self.site.decisions.limits.told_wait(ELSEWHERE) }
+        self.clients.input_received(client, now);
+        self.accounting.counts.offered += 1;
+        let rejection = match self.validate(now, &request) {
+            Ok(_)
+                if !self.lifecycle.accepts_set_up(arrival_time(now, polled), answer_deadline(&request))
+                    || self.lacks_replicas() =>
+            {
+                Verdict::Refused { wait: self.site.decisions.limits.told_wait(DRAIN_RETRY_AFTER) }
             }
             Ok(call) if self.admission.admit(&request, self.clients.open(client)) => {
-                let pending = Pending {
+                let pending = PendingCall {
                     client,
                     class: request.class,
-                    answer_by: answer_by(&request),
+                    answer_deadline: answer_deadline(&request),
                     number: request.number,
                     description: request.description,
-                    out: None,
+                    in_flight: None,
                     attempts: 0,
                     not_before: now,
                 };
-                self.wakes.push(Reverse((pending.answer_by, Wake::Deadline(call.id))));
+                self.timers.push(Reverse((pending.answer_deadline, TimerEvent::AnswerDeadline(call.id))));
                 self.pending.insert(call.id, pending);
-                self.clients.called(client, now);
+                self.clients.call_offered(client, now);
                 self.deliver_pending(now);
                 return self.decide(now, Event::Call(call));
             }
             Ok(_) => Verdict::Refused { wait: None },
-            Err(Unfit::NoTimeLeft) => Verdict::Failed,
-            Err(Unfit::UnknownClass | Unfit::OutOfRange) => Verdict::Invalid,
-            Err(Unfit::SameCall) => {
-                self.book.counts.repeated += 1;
-                return self.repeated(client, request.call);
+            Err(ValidationError::NoTimeLeft) => Verdict::Failed,
+            Err(ValidationError::UnknownClass | ValidationError::OutOfRange) => Verdict::Invalid,
+            Err(ValidationError::DuplicateCall) => {
+                self.accounting.counts.repeated += 1;
+                return self.reject_duplicate(client, request.call);
             }
         };
-        self.book.verdict(request.call, Some(request.class), unfit);
-        self.effects.push(Effect::Final { client, call: request.call, verdict: unfit });
+        self.accounting.final_answer(request.call, Some(request.class), rejection);
+        self.effects.push(Effect::FinalAnswer { client, call: request.call, verdict: rejection });
     }
 
     /// A client's set-up of which its front can make no request. `class` is there where it names one.
-    pub fn offer_unfit(&mut self, client: ClientId, call: CallId, class: Option<usize>) {
-        self.clients.unfit(client);
-        self.book.counts.offered += 1;
-        self.book.misread(class);
-        self.effects.push(Effect::Final { client, call, verdict: Verdict::Invalid });
+    pub fn offer_invalid(&mut self, client: ClientId, call: CallId, class: Option<usize>) {
+        self.clients.invalid_input_received(client);
+        self.accounting.counts.offered += 1;
+        self.accounting.invalid_set_up(class);
+        self.effects.push(Effect::FinalAnswer { client, call, verdict: Verdict::Invalid });
     }
 
     /// A client makes a call of an id that is taken. On the connection that has the call, any answer to the
     /// second would be taken for one to the first, so that only its end tells; the same where nothing else is
     /// lost with it.
-    fn repeated(&mut self, client: ClientId, call: CallId) {
-        let owner = self.pending.get(&call).map(|pending| pending.client);
-        if owner.or(self.relay.owner(call)) == Some(client) || self.clients.open(client) == 0 {
-            self.let_go(client);
+    fn reject_duplicate(&mut self, client: ClientId, call: CallId) {
+        let client_of_call = self.pending.get(&call).map(|pending| pending.client);
+        if client_of_call.or(self.established.client_of(call)) == Some(client)
+            || self.clients.open(client) == 0
+        {
+            self.evict(client);
         } else {
-            self.effects.push(Effect::Final { client, call, verdict: Verdict::Invalid });
+            self.effects.push(Effect::FinalAnswer { client, call, verdict: Verdict::Invalid });
         }
     }
 
     /// Sends a set-up, unless that would break a rule: then it counts as never sent.
     pub(super) fn send(&mut self, now: Micros, call: CallId, server: ServerId, stop_at: Micros) {
         let limits = &self.site.decisions.limits;
-        let most_attempts = limits.attempts.max(1);
-        let ready = self.route.ready(server);
+        let max_attempts = limits.attempts.max(1);
+        let is_ready = self.route.is_ready(server);
         let Some(pending) = self.pending.get_mut(&call) else {
-            self.book.breach(Breach::SentWhenOver);
+            self.accounting.record_breach(Breach::SentWhenCallEnd);
             return;
         };
-        let breach = if pending.out.is_some() {
+        let breach = if pending.in_flight.is_some() {
             Some(Breach::SecondAttempt)
-        } else if pending.attempts >= most_attempts {
+        } else if pending.attempts >= max_attempts {
             Some(Breach::TooManyAttempts)
-        } else if !ready {
+        } else if !is_ready {
             Some(Breach::SentToDraining)
         } else if now < pending.not_before {
             Some(Breach::ResentEarly)
@@ -161,18 +166,18 @@
         };
         let attempt = Attempt { server, number: pending.attempts, sent: now };
         pending.attempts += 1;
-        if self.clients.is_away(pending.client) {
-            self.finish(now, call, Verdict::Failed);
+        if self.clients.is_unreachable(pending.client) {
+            self.send_final_answer(now, call, Verdict::Failed);
             self.decide(now, Event::Gone { call });
             return self.decide(now, Event::Ended(attempt.ended(now, call, Outcome::Moot)));
         }
         if let Some(breach) = breach {
-            self.book.breach(breach);
+            self.accounting.record_breach(breach);
             self.decide(now, Event::Ended(attempt.ended(now, call, Outcome::Moot)));
             return;
         }
-        let stop_at = stop_at.min(pending.answer_by);
-        pending.out = Some(attempt);
+        let stop_at = stop_at.min(pending.answer_deadline);
+        pending.in_flight = Some(attempt);
         let set_up = SetUp {
             call,
             class: pending.class,
@@ -180,37 +185,37 @@
             description: pending.description.clone(),
             wait: (stop_at - now).max(0),
         };
-        self.wakes.push(Reverse((stop_at, Wake::Stop(call, attempt.number))));
-        self.book.sent(server);
-        self.promise(call, Some(Promise::Out(server)), None);
+        self.timers.push(Reverse((stop_at, TimerEvent::AttemptTimeout(call, attempt.number))));
+        self.accounting.attempt_sent(server);
+        self.publish_state(call, Some(CallState::AttemptPending(server)), None);
         self.effects.push(Effect::SetUp { server, set_up });
     }
 
     pub(super) fn attempt_timed_out(&mut self, now: Micros, call: CallId, number: u32) {
-        self.call_off(now, call, number, Outcome::Timeout);
+        self.abort_attempt(now, call, number, Outcome::Timeout);
     }
 
     pub(super) fn cancel(&mut self, now: Micros, call: CallId, number: u32) {
-        self.call_off(now, call, number, Outcome::Cancelled);
+        self.abort_attempt(now, call, number, Outcome::Cancelled);
     }
 
     /// Gives up an attempt that is still out. The server is told, so that what it answers later is void.
-    fn call_off(&mut self, now: Micros, call: CallId, number: u32, outcome: Outcome) {
+    fn abort_attempt(&mut self, now: Micros, call: CallId, number: u32, outcome: Outcome) {
         let Some(pending) = self.pending.get_mut(&call) else { return };
-        let Some(attempt) = pending.out.filter(|attempt| attempt.number == number) else { return };
-        self.effects.push(Effect::GiveUp { server: attempt.server, call });
+        let Some(attempt) = pending.in_flight.filter(|attempt| attempt.number == number) else { return };
+        self.effects.push(Effect::CancelAttempt { server: attempt.server, call });
         self.end_attempt(now, attempt.ended(now, call, outcome));
     }
 
     /// Books the end of an attempt of a call that does not stand.
     pub(super) fn end_attempt(&mut self, now: Micros, end: End) {
-        self.book.unanswered(end.server, end.outcome);
+        self.accounting.attempt_unanswered(end.server, end.outcome);
         if let Some(pending) = self.pending.get_mut(&end.call) {
-            pending.out = None;
+            pending.in_flight = None;
             if matches!(end.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
                 pending.not_before = now + self.site.decisions.release;
             }
-            self.promise(end.call, None, None);
+            self.publish_state(end.call, None, None);
         }
         self.decide(now, Event::Ended(end));
     }
@@ -219,12 +224,12 @@
     /// that they hold past it.
     pub(super) fn deadline_passed(&mut self, now: Micros, call: CallId) {
         let Some(pending) = self.pending.get(&call) else { return };
-        if let Some(attempt) = pending.out {
+        if let Some(attempt) = pending.in_flight {
             self.attempt_timed_out(now, call, attempt.number);
         }
         if self.pending.contains_key(&call) {
-            self.book.breach(Breach::HeldToDeadline);
-            self.finish(now, call, Verdict::Failed);
+            self.accounting.record_breach(Breach::HeldToDeadline);
+            self.send_final_answer(now, call, Verdict::Failed);
             self.decide(now, Event::Gone { call });
         }
     }
@@ -233,38 +238,38 @@
     pub fn answer_all(&mut self, now: Micros) {
         for call in self.pending.keys().copied().collect::<Vec<_>>() {
             let Some(pending) = self.pending.get(&call) else { continue };
-            let (out, attempts) = (pending.out, pending.attempts);
-            if let Some(Attempt { server, .. }) = out {
-                self.effects.push(Effect::GiveUp { server, call });
-                self.book.unanswered(server, Outcome::Cancelled);
-                self.promise(call, None, None);
+            let (in_flight, attempts) = (pending.in_flight, pending.attempts);
+            if let Some(Attempt { server, .. }) = in_flight {
+                self.effects.push(Effect::CancelAttempt { server, call });
+                self.accounting.attempt_unanswered(server, Outcome::Cancelled);
+                self.publish_state(call, None, None);
             }
-            let wait = self.site.decisions.limits.told_wait(ELSEWHERE);
+            let wait = self.site.decisions.limits.told_wait(DRAIN_RETRY_AFTER);
             let verdict = if attempts == 0 { Verdict::Refused { wait } } else { Verdict::Failed };
-            self.finish(now, call, verdict);
+            self.send_final_answer(now, call, verdict);
             self.decide(now, Event::Gone { call });
         }
     }
 
     /// The client has given a call up before its answer, or can no longer be answered: nothing is owed.
-    pub(super) fn abandon(&mut self, now: Micros, call: CallId, over: Over) {
+    pub(super) fn abandon(&mut self, now: Micros, call: CallId, end: CallEnd) {
         let Some(pending) = self.pending.get(&call) else { return };
-        let out = pending.out;
-        self.book.counts.abandoned += 1;
+        let in_flight = pending.in_flight;
+        self.accounting.counts.abandoned += 1;
         self.decide(now, Event::Gone { call });
         // Where the settings permit no cancel, the decisions do not ask for one; the attempt still ends here.
-        if let Some(attempt) = out {
+        if let Some(attempt) = in_flight {
             self.cancel(now, call, attempt.number);
         }
-        self.forget(call);
-        self.book.note_over(call, over);
+        self.remove_pending(call);
+        self.accounting.record_end(call, end);
     }
 
     /// Takes a pending call out, with the room that it held.
-    pub(super) fn forget(&mut self, call: CallId) -> Option<Pending> {
+    pub(super) fn remove_pending(&mut self, call: CallId) -> Option<PendingCall> {
         let pending = self.pending.remove(&call)?;
-        self.admission.leave(&pending.number, &pending.description);
-        self.clients.settled(pending.client);
+        self.admission.remove(&pending.number, &pending.description);
+        self.clients.call_answered(pending.client);
         Some(pending)
     }
 
@@ -274,18 +279,18 @@
             LinkLoss::Refused | LinkLoss::Unanswered => Outcome::ConnectFailed,
             LinkLoss::Dropped | LinkLoss::Unreadable => Outcome::Reset,
         };
-        for (call, attempt) in self.out_at(server) {
+        for (call, attempt) in self.in_flight_at(server) {
             self.end_attempt(now, attempt.ended(now, call, outcome));
         }
         if loss == LinkLoss::Refused {
-            self.server_dead(now, server, Micros::MAX);
+            self.server_process_ended(now, server, Micros::MAX);
         }
     }
 
     /// A set-up went with its connection, and may have run.
     pub fn attempt_lost(&mut self, now: Micros, server: ServerId, call: CallId) {
-        let out = self.pending.get(&call).and_then(|pending| pending.out);
-        if let Some(attempt) = out.filter(|attempt| attempt.server == server) {
+        let in_flight = self.pending.get(&call).and_then(|pending| pending.in_flight);
+        if let Some(attempt) = in_flight.filter(|attempt| attempt.server == server) {
             self.end_attempt(now, attempt.ended(now, call, Outcome::Reset));
         }
     }
@@ -297,14 +302,14 @@
             // No failure of the server: held against it, it would keep everybody's set-ups from it.
             NotSent::QueueFull | NotSent::Withdrawn => Outcome::Moot,
         };
-        let out = self.pending.get(&call).and_then(|pending| pending.out);
-        if let Some(attempt) = out.filter(|attempt| attempt.server == server) {
+        let in_flight = self.pending.get(&call).and_then(|pending| pending.in_flight);
+        if let Some(attempt) = in_flight.filter(|attempt| attempt.server == server) {
             self.end_attempt(now, attempt.ended(now, call, outcome));
         }
     }
 
-    fn out_at(&self, server: ServerId) -> Vec<(CallId, Attempt)> {
-        let out = self.pending.iter().filter_map(|(call, pending)| Some((*call, pending.out?)));
-        out.filter(|(_, attempt)| attempt.server == server).collect()
+    fn in_flight_at(&self, server: ServerId) -> Vec<(CallId, Attempt)> {
+        let in_flight = self.pending.iter().filter_map(|(call, pending)| Some((*call, pending.in_flight?)));
+        in_flight.filter(|(_, attempt)| attempt.server == server).collect()
     }
 }
--- a/core/src/tests/delivery.rs
+++ b/core/src/tests/delivery.rs
@@ -8,35 +8,35 @@
 
 /// A call is released to the connection that made it, and another connection has made calls too. What the
 /// core wants of connections is left to the test.
-fn with_release() -> Stand {
-    let mut stand = Stand::new();
-    stand.core.client_opened(stand.now, OTHER, None);
-    stand.offer(5, 3_000 * MS);
-    stand.answer(ONE, 5);
-    stand.offer_from(OTHER, 6, 3_000 * MS);
-    stand.core.server_ended(stand.now, ONE, CALL, RELEASE, Cause::Untold, Report::default());
-    assert_eq!(given(&stand.core.take_effects()), [CALLER]);
-    stand
+fn with_release() -> TestCore {
+    let mut test = TestCore::new();
+    test.core.client_opened(test.now, OTHER, None);
+    test.offer(5, 3_000 * MS);
+    test.answer(ONE, 5);
+    test.offer_from(OTHER, 6, 3_000 * MS);
+    test.core.server_ended(test.now, ONE, CALL, RELEASE, Cause::Untold, Report::default());
+    assert_eq!(recipients(&test.core.take_effects()), [CALLER]);
+    test
 }
 
 /// The connections that are given the release.
-fn given(effects: &[Effect]) -> Vec<ClientId> {
+fn recipients(effects: &[Effect]) -> Vec<ClientId> {
     let client = |effect: &Effect| match effect {
-        Effect::Released { client, call: CALL, .. } => Some(*client),
+        Effect::DeliverRelease { client, call: CALL, .. } => Some(*client),
         _ => None,
     };
     effects.iter().filter_map(client).collect()
 }
 
 /// Lets time pass without a word from any connection; returns all effects.
-fn wait(stand: &mut Stand, time: Micros) -> Vec<Effect> {
-    let (until, mut done) = (stand.now + time, Vec::new());
-    while let Some(at) = stand.core.next_wake().filter(|&at| at <= until) {
-        stand.now = at;
-        stand.core.wake(at);
-        done.extend(stand.core.take_effects());
+fn wait(test: &mut TestCore, time: Micros) -> Vec<Effect> {
+    let (until, mut done) = (test.now + time, Vec::new());
+    while let Some(at) = test.core.next_timer().filter(|&at| at <= until) {
+        test.now = at;
+        test.core.run_timers(at);
+        done.extend(test.core.take_effects());
     }
-    stand.now = until;
+    test.now = until;
     done
 }
 
@@ -44,55 +44,55 @@
 /// unread on the connection, however long.
 #[test]
 fn redelivers_only_when_the_connection_has_nothing_unread() {
-    let mut stand = with_release();
-    stand.core.release_sent(stand.now, CALLER, CALL);
-    let done = wait(&mut stand, 5_000 * MS);
-    assert_eq!(given(&done), [], "nobody has said that nothing is unread");
-    assert!(done.contains(&Effect::AskIfSilent { client: CALLER, call: CALL }), "it is asked for");
-    stand.core.release_heard(stand.now, CALLER, CALL);
-    stand.core.client_silent(stand.now, CALLER, CALL);
-    assert_eq!(given(&wait(&mut stand, 5_000 * MS)), [], "the answer comes behind the acknowledgement");
+    let mut test = with_release();
+    test.core.release_sent(test.now, CALLER, CALL);
+    let done = wait(&mut test, 5_000 * MS);
+    assert_eq!(recipients(&done), [], "nobody has said that nothing is unread");
+    assert!(done.contains(&Effect::CheckUnreadInput { client: CALLER, call: CALL }), "it is asked for");
+    test.core.release_acknowledged(test.now, CALLER, CALL);
+    test.core.no_unread_input(test.now, CALLER, CALL);
+    assert_eq!(recipients(&wait(&mut test, 5_000 * MS)), [], "the answer comes behind the acknowledgement");
 }
 
 /// Guards against a deadline that runs while the release waits in this process.
 #[test]
 fn waits_for_a_caller_from_when_the_release_has_left() {
-    let mut stand = with_release();
-    let left = stand.now + 140 * MS;
-    stand.now = left;
-    stand.core.release_sent(left, CALLER, CALL);
-    stand.now = left + 390 * MS;
-    stand.core.client_silent(stand.now, CALLER, CALL);
-    assert_eq!(given(&stand.core.take_effects()), [], "its caller has not had its time");
-    stand.now = left + 400 * MS;
-    stand.core.client_silent(stand.now, CALLER, CALL);
-    assert_eq!(given(&stand.core.take_effects()), [OTHER]);
-    assert!(stand.now < left + RELEASED_WITHIN);
+    let mut test = with_release();
+    let left = test.now + 140 * MS;
+    test.now = left;
+    test.core.release_sent(left, CALLER, CALL);
+    test.now = left + 390 * MS;
+    test.core.no_unread_input(test.now, CALLER, CALL);
+    assert_eq!(recipients(&test.core.take_effects()), [], "its caller has not had its time");
+    test.now = left + 400 * MS;
+    test.core.no_unread_input(test.now, CALLER, CALL);
+    assert_eq!(recipients(&test.core.take_effects()), [OTHER]);
+    assert!(test.now < left + RELEASED_WITHIN);
 }
 
 /// A connection that takes nothing: what has not left is taken back, so that it is given once.
 #[test]
 fn takes_back_what_a_connection_does_not_take() {
-    let mut stand = with_release();
-    let done = wait(&mut stand, 200 * MS);
+    let mut test = with_release();
+    let done = wait(&mut test, 200 * MS);
     assert!(done.contains(&Effect::WithdrawRelease { client: CALLER, call: CALL }));
-    assert_eq!(given(&done), [], "it is not known yet whether it left");
-    stand.core.release_withdrawn(stand.now, CALLER, CALL);
-    assert_eq!(given(&stand.core.take_effects()), [OTHER]);
-    stand.core.release_withdrawn(stand.now, CALLER, CALL);
-    assert_eq!(given(&stand.core.take_effects()), [], "it is another connection's by now");
+    assert_eq!(recipients(&done), [], "it is not known yet whether it left");
+    test.core.release_withdrawn(test.now, CALLER, CALL);
+    assert_eq!(recipients(&test.core.take_effects()), [OTHER]);
+    test.core.release_withdrawn(test.now, CALLER, CALL);
+    assert_eq!(recipients(&test.core.take_effects()), [], "it is another connection's by now");
 }
 
 /// Guards against a release that is lost as it is taken back: no other connection can take it.
 #[test]
 fn gives_back_what_no_other_connection_can_take() {
-    let mut stand = with_release();
-    stand.core.client_closed(stand.now, OTHER);
-    stand.core.take_effects();
-    let done = wait(&mut stand, 200 * MS);
+    let mut test = with_release();
+    test.core.client_closed(test.now, OTHER);
+    test.core.take_effects();
+    let done = wait(&mut test, 200 * MS);
     assert!(done.contains(&Effect::WithdrawRelease { client: CALLER, call: CALL }));
-    stand.core.release_withdrawn(stand.now, CALLER, CALL);
-    assert_eq!(given(&stand.core.take_effects()), [CALLER]);
+    test.core.release_withdrawn(test.now, CALLER, CALL);
+    assert_eq!(recipients(&test.core.take_effects()), [CALLER]);
 }
 
 /// A connection that has acknowledged a release is heard out while it says anything, unless it passed this
@@ -106,30 +106,30 @@
         ("it acknowledges a later release", true, true, true),
     ];
     for (case, calls_on, passes_over, redelivered) in cases {
-        let mut stand = Stand::new();
-        stand.core.client_opened(stand.now, OTHER, None);
-        stand.offer_from(OTHER, 6, 9_000 * MS);
+        let mut test = TestCore::new();
+        test.core.client_opened(test.now, OTHER, None);
+        test.offer_from(OTHER, 6, 9_000 * MS);
         for call in [7, 5, 8] {
-            stand.offer(call, 9_000 * MS);
-            stand.answer(ONE, call);
+            test.offer(call, 9_000 * MS);
+            test.answer(ONE, call);
         }
-        stand.end(ONE, 7, RELEASE);
-        stand.core.release_heard(stand.now, CALLER, CallId(7));
-        stand.now += MS;
-        stand.end(ONE, 5, RELEASE);
-        stand.now += MS;
-        stand.end(ONE, 8, RELEASE);
+        test.end(ONE, 7, RELEASE);
+        test.core.release_acknowledged(test.now, CALLER, CallId(7));
+        test.now += MS;
+        test.end(ONE, 5, RELEASE);
+        test.now += MS;
+        test.end(ONE, 8, RELEASE);
         if passes_over {
-            stand.core.release_heard(stand.now, CALLER, CallId(8));
+            test.core.release_acknowledged(test.now, CALLER, CallId(8));
         }
         let mut done = Vec::new();
         for _ in 0..9 {
-            done.extend(stand.pass(100 * MS).into_iter().map(|(_, effect)| effect));
+            done.extend(test.pass(100 * MS).into_iter().map(|(_, effect)| effect));
             if calls_on {
-                stand.core.client_tested(stand.now, CALLER);
+                test.core.client_health_checked(test.now, CALLER);
             }
         }
-        assert_eq!(given(&done), if redelivered { vec![OTHER] } else { vec![] }, "{case}");
+        assert_eq!(recipients(&done), if redelivered { vec![OTHER] } else { vec![] }, "{case}");
     }
 }
 
@@ -137,15 +137,15 @@
 /// caller's acknowledgement would never be read, and another connection be given the release.
 #[test]
 fn sweeps_no_idle_connection_that_was_just_given_a_release() {
-    let mut stand = with_release();
-    stand.core.release_sent(stand.now, CALLER, CALL);
-    stand.core.release_heard(stand.now, CALLER, CALL);
-    stand.offer(7, 3_000 * MS);
-    stand.answer(ONE, 7);
+    let mut test = with_release();
+    test.core.release_sent(test.now, CALLER, CALL);
+    test.core.release_acknowledged(test.now, CALLER, CALL);
+    test.offer(7, 3_000 * MS);
+    test.answer(ONE, 7);
     // The process does not run: all that is due is due at once.
-    stand.now += 6_000 * MS;
-    stand.core.server_ended(stand.now, ONE, CallId(7), RELEASE, Cause::Untold, Report::default());
-    stand.core.wake(stand.now);
+    test.now += 6_000 * MS;
+    test.core.server_ended(test.now, ONE, CallId(7), RELEASE, Cause::Untold, Report::default());
+    test.core.run_timers(test.now);
     let close = Effect::Close { client: CALLER };
-    assert!(!stand.core.take_effects().contains(&close));
+    assert!(!test.core.take_effects().contains(&close));
 }
--- a/core/src/unclaimed.rs
+++ b/core/src/unclaimed.rs
@@ -14,35 +14,35 @@
 
 use steprelay_decisions::{CallId, Micros, ServerId};
 
-use super::book::Over;
-use super::{ClientId, Core, Effect, Promise, ReleaseCause, Wake};
+use super::accounting::CallEnd;
+use super::{CallState, ClientId, Core, Effect, ReleaseCause, TimerEvent};
 
 /// Members get this long to say that they have given a release, where not all answer sooner. It leaves a
 /// fifth of the second in which a caller is to have it.
-const CLAIM_WITHIN: Micros = 800_000;
+const CLAIM_TIMEOUT: Micros = 800_000;
 /// A release that another member had said it will give is left to that one when nothing is heard of it for so
 /// long: where that member is lost, it is known by then.
-const LEFT_CLAIM_WITHIN: Micros = 7_000_000;
+const PRIOR_CLAIM_TIMEOUT: Micros = 7_000_000;
 
 /// A release that is given unless a member claims it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Unclaimed {
+pub(super) struct UnclaimedRelease {
     /// Who made the call, where that is known.
     pub client: Option<ClientId>,
     pub server: ServerId,
     pub cause: ReleaseCause,
-    pub left: LeftTo,
+    pub prior_claim: PriorClaim,
 }
 
 /// Whether a member has said before that it will give a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LeftTo {
-    Nobody,
-    Another,
+pub(super) enum PriorClaim {
+    Unclaimed,
+    OtherMember,
 }
 
 #[derive(Default)]
-pub(super) struct UnclaimedReleases(BTreeMap<CallId, Unclaimed>);
+pub(super) struct UnclaimedReleases(BTreeMap<CallId, UnclaimedRelease>);
 
 impl UnclaimedReleases {
     pub fn len(&self) -> usize {
@@ -53,76 +53,76 @@
         self.0.contains_key(&call)
     }
 
-    pub fn forget(&mut self, call: CallId) -> bool {
+    pub fn remove(&mut self, call: CallId) -> bool {
         self.0.remove(&call).is_some()
     }
 
-    pub fn promise_of(&self, call: CallId) -> Option<Promise> {
-        self.0.get(&call).map(|release| Promise::Owed(release.server, release.cause))
+    pub fn state_of(&self, call: CallId) -> Option<CallState> {
+        self.0.get(&call).map(|release| CallState::ReleasePending(release.server, release.cause))
     }
 
-    pub fn promised(&self) -> impl Iterator<Item = (CallId, Promise)> + '_ {
-        self.0.iter().map(|(call, release)| (*call, Promise::Owed(release.server, release.cause)))
+    pub fn states(&self) -> impl Iterator<Item = (CallId, CallState)> + '_ {
+        self.0.iter().map(|(call, release)| (*call, CallState::ReleasePending(release.server, release.cause)))
     }
 }
 
 impl Core {
     /// Asks all members whether they have given a release, and holds it until its time for claims is over.
-    pub(super) fn hold_unclaimed(&mut self, now: Micros, call: CallId, release: Unclaimed) {
-        let within = match release.left {
-            LeftTo::Nobody => CLAIM_WITHIN,
-            LeftTo::Another => LEFT_CLAIM_WITHIN,
+    pub(super) fn hold_for_claims(&mut self, now: Micros, call: CallId, release: UnclaimedRelease) {
+        let timeout = match release.prior_claim {
+            PriorClaim::Unclaimed => CLAIM_TIMEOUT,
+            PriorClaim::OtherMember => PRIOR_CLAIM_TIMEOUT,
         };
-        self.pass_on_to_members(call);
-        self.promise(call, Some(Promise::Owed(release.server, release.cause)), None);
+        self.announce_release(call);
+        self.publish_state(call, Some(CallState::ReleasePending(release.server, release.cause)), None);
         self.unclaimed.0.insert(call, release);
-        self.wakes.push(Reverse((now + within, Wake::Unclaimed(call))));
+        self.timers.push(Reverse((now + timeout, TimerEvent::ClaimTimeout(call))));
     }
 
     /// The time for claims is over.
-    pub(super) fn claims_over(&mut self, now: Micros, call: CallId) {
-        match self.unclaimed.0.get(&call).map(|release| release.left) {
-            Some(LeftTo::Nobody) => self.release_unclaimed(now, call),
-            Some(LeftTo::Another) => self.yield_unclaimed(call),
+    pub(super) fn claims_timed_out(&mut self, now: Micros, call: CallId) {
+        match self.unclaimed.0.get(&call).map(|release| release.prior_claim) {
+            Some(PriorClaim::Unclaimed) => self.deliver_unclaimed(now, call),
+            Some(PriorClaim::OtherMember) => self.yield_release(call),
             None => {}
         }
     }
 
     /// Nobody has claimed it: all members have answered, or their time is over.
-    pub fn release_unclaimed(&mut self, now: Micros, call: CallId) {
-        if let Some(Unclaimed { client, server, cause, .. }) = self.unclaimed.0.remove(&call) {
-            self.release_to(now, client, server, call, cause);
+    pub fn deliver_unclaimed(&mut self, now: Micros, call: CallId) {
+        if let Some(UnclaimedRelease { client, server, cause, .. }) = self.unclaimed.0.remove(&call) {
+            self.start_delivery(now, client, server, call, cause);
         }
     }
 
     /// Another member sees to the end of this call, or has. It is told so where its caller hears of it here.
-    pub fn over_elsewhere(&mut self, now: Micros, call: CallId) {
+    pub fn ended_elsewhere(&mut self, now: Micros, call: CallId) {
         if self.unclaimed.contains(call) {
             // It was told of the same release, and yields.
             return;
         }
-        let is_told_here = self.pending.contains_key(&call)
-            || self.deliveries.has_given(call)
-            || self.book.over(call) == Some(Over::Answered);
-        if !is_told_here {
+        let is_answered_here = self.pending.contains_key(&call)
+            || self.deliveries.was_delivered(call)
+            || self.accounting.ended(call) == Some(CallEnd::Answered);
+        if !is_answered_here {
             return self.drop_call(now, call);
         }
-        if self.promises_are_told() {
-            self.effects.push(Effect::Given { call });
+        if self.is_replicated() {
+            self.effects.push(Effect::ReleaseDelivered { call });
         }
     }
 
     /// Another member was told of the same release, and it is that one which gives it.
-    pub fn yield_unclaimed(&mut self, call: CallId) {
-        if self.unclaimed.forget(call) {
-            self.promise(call, None, None);
-            self.book.note_over(call, Over::Elsewhere);
+    pub fn yield_release(&mut self, call: CallId) {
+        if self.unclaimed.remove(call) {
+            self.publish_state(call, None, None);
+            self.accounting.record_end(call, CallEnd::HandledElsewhere);
         }
     }
 
     /// Another member has told the caller of this call that it is over.
-    pub fn given_elsewhere(&mut self, now: Micros, call: CallId) {
-        self.yield_unclaimed(call);
+    pub fn delivered_elsewhere(&mut self, now: Micros, call: CallId) {
+        self.yield_release(call);
         if !self.pending.contains_key(&call) {
             self.drop_call(now, call);
         }
--- a/core/src/take_in.rs
+++ b/core/src/validate.rs
@@ -2,7 +2,7 @@
 
 use steprelay_decisions::{Call, CallId, Class, Micros};
 
-use super::book::Over;
+use super::accounting::CallEnd;
 use super::{Core, Request};
 
 /// The answer is given so long before the caller gives up: it has to cross to the caller, and a timer of
@@ -10,34 +10,34 @@
 pub const ANSWER_MARGIN: Micros = 30_000;
 
 /// No caller waits longer than so many times its class's deadline; without one, than an hour.
-const LONGEST_WAIT: Micros = 4;
-const ANY_WAIT: Micros = 3_600_000_000;
+const MAX_WAIT_IN_DEADLINES: Micros = 4;
+const MAX_WAIT_WITHOUT_DEADLINE: Micros = 3_600_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum ValidationError {
     UnknownClass,
     /// It asks for a server that cannot be, or for a wait that no caller of its class has.
     OutOfRange,
     /// Its caller gives up before any answer could reach it.
     NoTimeLeft,
     /// A call of this id is open or has just been answered. Whatever is said now would be its second answer.
-    SameCall,
+    DuplicateCall,
 }
 
 impl Core {
-    pub(super) fn take_in(&self, now: Micros, request: &Request) -> Result<Call, Unfit> {
-        if self.known(request.call) {
-            return Err(Unfit::SameCall);
+    pub(super) fn validate(&self, now: Micros, request: &Request) -> Result<Call, ValidationError> {
+        if self.is_duplicate(request.call) {
+            return Err(ValidationError::DuplicateCall);
         }
         if request.class >= self.site.class_names.len() {
-            return Err(Unfit::UnknownClass);
+            return Err(ValidationError::UnknownClass);
         }
-        if !self.in_range(request) {
-            return Err(Unfit::OutOfRange);
+        if !self.is_in_range(request) {
+            return Err(ValidationError::OutOfRange);
         }
-        let remaining = answer_by(request) - now;
+        let remaining = answer_deadline(request) - now;
         if remaining <= 0 {
-            return Err(Unfit::NoTimeLeft);
+            return Err(ValidationError::NoTimeLeft);
         }
         Ok(Call {
             id: request.call,
@@ -54,25 +54,25 @@
 
     /// What is out of range would only be refused by servers, at the cost of their time, and timers for waits
     /// without end would pile up here.
-    fn in_range(&self, request: &Request) -> bool {
-        let longest = match self.site.deadlines.get(request.class) {
-            Some(&deadline) if deadline > 0 => LONGEST_WAIT * deadline,
-            _ => ANY_WAIT,
+    fn is_in_range(&self, request: &Request) -> bool {
+        let max_wait = match self.site.deadlines.get(request.class) {
+            Some(&deadline) if deadline > 0 => MAX_WAIT_IN_DEADLINES * deadline,
+            _ => MAX_WAIT_WITHOUT_DEADLINE,
         };
-        let somewhere = |number| {
-            let numbers = |class: &Class| class.servers.as_ref().is_none_or(|list| list.contains(&number));
-            number <= u16::MAX.into() && self.site.decisions.classes.iter().any(numbers)
+        let is_served = |number| {
+            let has_server = |class: &Class| class.servers.as_ref().is_none_or(|list| list.contains(&number));
+            number <= u16::MAX.into() && self.site.decisions.classes.iter().any(has_server)
         };
-        (1..=longest).contains(&request.left) && request.dest.is_none_or(somewhere)
+        (1..=max_wait).contains(&request.remaining) && request.dest.is_none_or(is_served)
     }
 
-    fn known(&self, call: CallId) -> bool {
+    fn is_duplicate(&self, call: CallId) -> bool {
         self.pending.contains_key(&call)
-            || self.relay.stands(call).is_some()
-            || self.book.over(call).is_some_and(Over::is_final)
+            || self.established.get(call).is_some()
+            || self.accounting.ended(call).is_some_and(CallEnd::is_final)
     }
 }
 
-pub fn answer_by(request: &Request) -> Micros {
-    request.came + request.left - ANSWER_MARGIN
+pub fn answer_deadline(request: &Request) -> Micros {
+    request.received_at + request.remaining - ANSWER_MARGIN
 }
--- a/rig/tests/delivery/net/owner.rs
+++ b/rig/tests/delivery/net/owner.rs
@@ -105,7 +105,7 @@
 
 impl Owner {
     pub fn new(mut core: Core, clock: Clock, end: CopiesEnd) -> Self {
-        core.tell_promises();
+        core.enable_replication();
         let polled = clock.now();
         Owner {
             core,
@@ -131,7 +131,7 @@
     }
 
     pub fn is_stopping(&self) -> bool {
-        self.core.duty().ends_by().is_some()
+        self.core.lifecycle().exit_deadline().is_some()
     }
 
     /// Takes in what came. What follows from it is carried out later in the turn.
@@ -150,10 +150,10 @@
                 self.core.client_closed(now, client);
             }
             Input::ReleaseSent(client, call, at) => self.core.release_sent(at, client, call),
-            Input::ClientSilent(client, call) => self.core.client_silent(now, client, call),
+            Input::ClientSilent(client, call) => self.core.no_unread_input(now, client, call),
             Input::ClientPaused(client, inputs) => self.core.client_paused(now, client, inputs),
             Input::Offer(client, request) => self.core.offer(now, self.polled, client, request),
-            Input::ReleaseHeard(client, call) => self.core.release_heard(now, client, call),
+            Input::ReleaseHeard(client, call) => self.core.release_acknowledged(now, client, call),
             Input::LinkUp(link) => {
                 self.links.up.insert(link.server, link);
             }
@@ -186,7 +186,7 @@
     /// What is due by now, ahead of what follows from it.
     pub fn wake(&mut self) {
         self.polled = self.shared.clock.now();
-        self.core.wake(self.polled);
+        self.core.run_timers(self.polled);
         self.look_at_copies();
     }
 
@@ -220,16 +220,16 @@
     /// Whether it was told to stop and nothing is open any more, or no more time is left for that: the rule
     /// of `Owner::is_done`.
     pub fn is_done(&self, now: Micros) -> bool {
-        let is_over = self.core.duty().answers_all_at().is_some_and(|at| now >= at);
+        let is_over = self.core.lifecycle().final_answer_deadline().is_some_and(|at| now >= at);
         let holds_answers = self.copies.as_ref().is_some_and(Copies::holds_answers);
-        let is_idle = self.core.connections() == 0 && self.core.duty().may_end(now) && !holds_answers;
-        self.core.unanswered() == 0 && (is_over || is_idle)
+        let is_idle = self.core.connections() == 0 && self.core.lifecycle().may_exit(now) && !holds_answers;
+        self.core.unanswered_calls() == 0 && (is_over || is_idle)
     }
 
     /// Behind the last answer: whether the process is to go on for what still comes, as `Owner::flush` says.
     /// `open`: whether a caller's connection is.
     pub fn flushes(&mut self, now: Micros, callers: &[ClientId], open: bool) -> bool {
-        let ends_by = self.core.duty().ends_by().unwrap_or_default() - FAREWELL;
+        let ends_by = self.core.lifecycle().exit_deadline().unwrap_or_default() - FAREWELL;
         if self.closed_by.is_none() {
             let (held, failed) = self.copies.as_mut().map(Copies::take_answers).unwrap_or_default();
             held.into_iter().for_each(|answer| self.say(now, answer));
@@ -238,7 +238,7 @@
             self.said.extend(callers.iter().map(|client| Said::Finish(*client)));
         }
         let closed_by = *self.closed_by.get_or_insert((now + CLOSING).min(ends_by));
-        let late = self.core.unanswered() > 0;
+        let late = self.core.unanswered_calls() > 0;
         let (settled, short) =
             self.copies.as_ref().map_or((true, false), |copies| (copies.is_settled(), copies.is_short()));
         let settles = now < if short { self.settled_by } else { ends_by } && !settled;
@@ -252,7 +252,7 @@
     fn do_one(&mut self, effect: Effect) {
         let now = self.shared.clock.now();
         self.look_at_doubt(now);
-        if let Effect::Released { client, call, .. } = &effect {
+        if let Effect::DeliverRelease { client, call, .. } = &effect {
             if !self.may_release(now, *client, *call) {
                 return;
             }
@@ -278,10 +278,10 @@
                     self.core.not_sent(now, server, call, reason);
                 }
             }
-            Effect::GiveUp { server, call } => {
+            Effect::CancelAttempt { server, call } => {
                 let _ = self.links.post(server, ToServer::GiveUp(call), now);
             }
-            Effect::Withdraw { server, call } => {
+            Effect::WithdrawSetUp { server, call } => {
                 if self.copies.as_mut().is_some_and(|copies| copies.withdraw(call)) {
                     self.core.not_sent(now, server, call, NotSent::Withdrawn);
                 }
@@ -289,15 +289,15 @@
             Effect::Release { server, call, cause } => {
                 let _ = self.links.post(server, ToServer::Release(call, cause), now);
             }
-            Effect::Promised { call, promise, by } => {
-                self.copies.iter_mut().for_each(|copies| copies.note(call, promise, by));
+            Effect::CallStateChanged { call, state, notify_by } => {
+                self.copies.iter_mut().for_each(|copies| copies.note(call, state, notify_by));
             }
-            Effect::Acknowledged { call } => {
+            Effect::ReleaseAcknowledged { call } => {
                 self.copies.iter_mut().for_each(|copies| copies.acknowledged(call));
             }
-            Effect::PassedOn { call } => self.pass_on(now, call),
-            Effect::Given { call } => self.copies.iter_mut().for_each(|copies| copies.given(call)),
-            Effect::Released { client, call, .. } => {
+            Effect::AnnounceRelease { call } => self.pass_on(now, call),
+            Effect::ReleaseDelivered { call } => self.copies.iter_mut().for_each(|copies| copies.given(call)),
+            Effect::DeliverRelease { client, call, .. } => {
                 if self.clients.contains(&client) {
                     self.unsent.insert((client, call));
                 }
@@ -308,12 +308,13 @@
                 false => self.core.release_sent(now, client, call),
             },
             // It is let go of once it has its answer.
-            Effect::LetGo { client, .. } | Effect::Pause { client } if self.holds_answer_to(client) => {}
+            Effect::CloseIfIdle { client, .. } | Effect::Pause { client } if self.holds_answer_to(client) => {
+            }
             Effect::CloseIfPaused { client, .. } if self.holds_answer_to(client) => {}
             Effect::Answer { client, .. }
-            | Effect::Final { client, .. }
-            | Effect::AskIfSilent { client, .. }
-            | Effect::LetGo { client, .. }
+            | Effect::FinalAnswer { client, .. }
+            | Effect::CheckUnreadInput { client, .. }
+            | Effect::CloseIfIdle { client, .. }
             | Effect::Pause { client }
             | Effect::CloseIfPaused { client, .. }
             | Effect::Resume { client }
@@ -335,13 +336,13 @@
 
 fn trace_effect(effect: &Effect) {
     match effect {
-        Effect::Released { call, .. }
+        Effect::DeliverRelease { call, .. }
         | Effect::WithdrawRelease { call, .. }
-        | Effect::AskIfSilent { call, .. }
-        | Effect::Acknowledged { call }
-        | Effect::PassedOn { call }
-        | Effect::Given { call }
-        | Effect::Promised { call, .. } => trace::line(call.0, || format!("{effect:?}")),
+        | Effect::CheckUnreadInput { call, .. }
+        | Effect::ReleaseAcknowledged { call }
+        | Effect::AnnounceRelease { call }
+        | Effect::ReleaseDelivered { call }
+        | Effect::CallStateChanged { call, .. } => trace::line(call.0, || format!("{effect:?}")),
         _ => {}
     }
 }
--- a/rig/tests/delivery/ports.rs
+++ b/rig/tests/delivery/ports.rs
@@ -42,7 +42,7 @@
 
     use steprelay_copies::member::Question;
     use steprelay_copies::{Call, Record};
-    use steprelay_core::{Promise, ReleaseCause};
+    use steprelay_core::{CallState, ReleaseCause};
     use steprelay_decisions::{CallId, ServerId};
 
     use super::Clock;
@@ -50,8 +50,8 @@
     /// Of the owner of the core.
     #[derive(Clone, Debug, PartialEq)]
     pub enum Note {
-        Promise(CallId, Option<Promise>),
-        All(Vec<(CallId, Promise)>),
+        Promise(CallId, Option<CallState>),
+        All(Vec<(CallId, CallState)>),
         PassedOn(CallId),
         Acknowledged(CallId),
         Given(CallId),
@@ -59,19 +59,21 @@
         Relinquished(Vec<CallId>),
     }
 
-    pub fn record(promise: Promise) -> Record {
+    pub fn record(promise: CallState) -> Record {
         match promise {
-            Promise::Out(server) => Record::Out { server: server.0 },
-            Promise::Stands(server) => Record::Stands { server: server.0 },
-            Promise::Owed(server, cause) => Record::Owed { server: server.0, cause: cause.0 },
+            CallState::AttemptPending(server) => Record::Out { server: server.0 },
+            CallState::Established(server) => Record::Stands { server: server.0 },
+            CallState::ReleasePending(server, cause) => Record::Owed { server: server.0, cause: cause.0 },
         }
     }
 
-    pub fn promise(record: Record) -> Promise {
+    pub fn promise(record: Record) -> CallState {
         match record {
-            Record::Out { server } => Promise::Out(ServerId(server)),
-            Record::Stands { server } => Promise::Stands(ServerId(server)),
-            Record::Owed { server, cause } => Promise::Owed(ServerId(server), ReleaseCause(cause)),
+            Record::Out { server } => CallState::AttemptPending(ServerId(server)),
+            Record::Stands { server } => CallState::Established(ServerId(server)),
+            Record::Owed { server, cause } => {
+                CallState::ReleasePending(ServerId(server), ReleaseCause(cause))
+            }
         }
     }
 
--- a/rig/tests/delivery/process.rs
+++ b/rig/tests/delivery/process.rs
@@ -7,7 +7,7 @@
 use steprelay_copies::words::Word;
 use steprelay_copies::writer::Limits;
 use steprelay_copies::Millis;
-use steprelay_core::{Bounds, Core};
+use steprelay_core::{Core, CoreLimits};
 use steprelay_decisions::{Class, Entry, ListKind, Micros, Readiness, ServerId, Settings};
 use steprelay_settings::Site;
 use tokio::sync::mpsc;
@@ -25,7 +25,8 @@
 pub const DEADLINE: Micros = 3_000_000;
 /// Two others are to hold what is promised, and one must before anybody is told.
 const LIMITS: Limits = Limits { copies: 2, needed: 1 };
-const BOUNDS: Bounds = Bounds { connections: 100, connections_of_one: 100, bytes: 1 << 20 };
+const BOUNDS: CoreLimits =
+    CoreLimits { connections: 100, connections_per_peer: 100, pending_call_bytes: 1 << 20 };
 const MAX_OPEN: usize = 1_000;
 
 /// What happens to a process after so many more effects of its core.
@@ -81,8 +82,8 @@
             state: Readiness::Ready,
         };
         let entries: Vec<Entry> = (0..servers).map(listed).collect();
-        core.list(now, steprelay_core::Source::Board, ListKind::All, &entries);
-        core.on_duty(now, |duty| duty.ready());
+        core.update_servers(now, steprelay_core::ListSource::Discovery, ListKind::All, &entries);
+        core.update_lifecycle(now, |lifecycle| lifecycle.set_ready());
         let end = CopiesEnd { notes: sender, lease: lease.clone(), after_copies: true, refuse_short: false };
         let ran_until = (now / 1_000) as Millis;
         Process {
--- a/rig/tests/delivery/world/members.rs
+++ b/rig/tests/delivery/world/members.rs
@@ -195,7 +195,7 @@
             (false, true) => Some(now + LOOK),
             _ => None,
         };
-        let wake = [process.owner.core.next_wake(), look].into_iter().flatten().min();
+        let wake = [process.owner.core.next_timer(), look].into_iter().flatten().min();
         let after = wake.map_or(1_000 * MS, |at| (at - now).max(0)) + late.max(1);
         self.owner_due(member, boot, after);
     }
@@ -338,10 +338,10 @@
                 };
                 let inputs = connection.inputs;
                 let is_silent = connection.unread.front().is_none_or(|at| *at > now);
-                let is_release = matches!(effect, Effect::Released { .. });
+                let is_release = matches!(effect, Effect::DeliverRelease { .. });
                 match effect {
                     Effect::Answer { call, .. } => self.send_to_peer(number, ToPeer::Accept(call.0)),
-                    Effect::Final { call, .. } | Effect::Released { call, .. }
+                    Effect::FinalAnswer { call, .. } | Effect::DeliverRelease { call, .. }
                         if connection.half_closed.is_none() =>
                     {
                         let reached = self.judge.reached.get(&boot).copied();
@@ -353,12 +353,12 @@
                             self.release_leaves(member, boot, client, call);
                         }
                     }
-                    Effect::LetGo { inputs: seen, .. } | Effect::CloseIfPaused { inputs: seen, .. }
+                    Effect::CloseIfIdle { inputs: seen, .. } | Effect::CloseIfPaused { inputs: seen, .. }
                         if seen == inputs =>
                     {
                         self.half_close(number);
                     }
-                    Effect::AskIfSilent { client, call } if is_silent => {
+                    Effect::CheckUnreadInput { client, call } if is_silent => {
                         self.put(member, boot, Input::ClientSilent(client, call));
                         let late = self.late();
                         self.owner_due(member, boot, late.max(1));
@@ -395,8 +395,8 @@
         dest: Some((call % SERVERS as u64) as u32),
         number: format!("line-{call}").into(),
         description: "v=0".into(),
-        came: now,
-        left: DEADLINE,
+        received_at: now,
+        remaining: DEADLINE,
         was_cut: false,
     }
 }
