--- a/core/src/accounting.rs
+++ b/core/src/accounting.rs
@@ -1,4 +1,4 @@
-//! Last stage: what became of calls and attempts, and whether what must hold has held.
+//! Last stage: counts the outcomes of calls and attempts, and checks the invariants.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,11 +6,13 @@
 
 use super::Verdict;
 
-/// Ids of calls that are over are kept until so many more are over, twice: late words about them are no
-/// news, while words about a call of an unknown id concern one that stood before this process started.
+/// The ids of ended calls are held in two generations of this size. A late message about a call in them is
+/// ignored, while a message about a call with an unknown id is about one that was established before this
+/// process started.
 const ENDED_CALLS_PER_GENERATION: usize = 20_000;
 
-/// What must never happen: asserted in debug builds, counted and prevented in release builds.
+/// Violations of the core's rules: asserted in debug builds; counted, and the violation prevented, in release
+/// builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
     SentWhenCallEnd,
@@ -34,41 +36,43 @@
     ];
 }
 
-/// Final answers to set-ups of one class. What its caller left before an answer is in none of them.
+/// Final answers to set-ups of one class. Calls that their callers gave up before the answer are not
+/// included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Calls that came to stand.
+    /// Calls that were established.
     pub success: u64,
-    /// Refused: trying again is harmless.
+    /// Calls that were refused and can safely be retried.
     pub overload: u64,
-    /// Failed, or not to be made sense of.
+    /// Calls that failed or were invalid.
     pub error: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub offered: u64,
-    /// Set-ups of an id that was open or answered.
+    /// Set-ups with the id of an open or answered call.
     pub repeated: u64,
     pub established: u64,
     pub refused: u64,
     pub failed: u64,
     pub invalid: u64,
-    /// Given up by their callers.
+    /// Calls given up by their callers.
     pub abandoned: u64,
-    /// Calls that stood and ended well, and those that were cut.
+    /// Established calls that ended normally, and those that were cut off.
     pub released: u64,
     pub cut: u64,
     pub released_unknown: u64,
     pub releases_lost: u64,
-    /// Releases that were given to a further connection, and those that were given and never acknowledged.
+    /// Releases that were delivered on a further connection, and those that were delivered and never
+    /// acknowledged.
     pub releases_redelivered: u64,
     pub releases_unacknowledged: u64,
-    /// How often a server was given up as out of reach, and calls that ended with that.
+    /// How often a server was declared unreachable, and the calls that ended with that.
     pub servers_out_of_reach: u64,
     pub ended_out_of_reach: u64,
     pub answered_late: u64,
-    /// Connections of clients that were ended for the sake of others.
+    /// Connections of clients that were closed to free capacity for other clients.
     pub evicted_clients: u64,
     /// By class, in the order of the settings.
     pub classes: Vec<ClassCounts>,
@@ -92,16 +96,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
     Answered,
-    /// Its connection went before an answer: the same set-up may come again on another one.
+    /// Its connection was closed before the answer: the same set-up may arrive again on another connection.
     ConnectionLost,
-    /// Another member has told its caller, or is about to.
+    /// Another member has told the caller, or is about to.
     HandledElsewhere,
-    /// Its attempt, of a member that was lost, was called off here: its caller was told nothing here.
+    /// Its attempt, taken over from a lost member, was aborted here; this member has not told the caller
+    /// anything.
     AttemptAborted,
 }
 
 impl CallEnd {
-    /// Whether its caller has its final answer, or gets it from another member if any.
+    /// Whether the caller has its final answer, or will get it only from another member.
     pub fn is_final(self) -> bool {
         match self {
             CallEnd::Answered | CallEnd::HandledElsewhere | CallEnd::AttemptAborted => true,
@@ -134,7 +139,7 @@
         self.servers.get(&server).copied().unwrap_or_default()
     }
 
-    /// Forgets the figures of all other servers.
+    /// Drops the counts of all other servers.
     pub fn keep_servers(&mut self, is_shown: impl Fn(ServerId) -> bool) {
         self.servers.retain(|server, _| is_shown(*server));
     }
@@ -150,7 +155,7 @@
         self.ended.insert(call, end);
     }
 
-    /// Another member sees to it, unless its caller was told here.
+    /// Records that another member handles the end of the call, unless this member told the caller.
     pub fn record_end_elsewhere(&mut self, call: CallId) {
         if self.ended(call) != Some(CallEnd::Answered) {
             self.record_end(call, CallEnd::HandledElsewhere);
@@ -186,13 +191,14 @@
         self.record_end(call, CallEnd::Answered);
     }
 
-    /// A set-up that no request could be made of was answered; its id may be any.
+    /// Counts the answer to a set-up that could not be parsed into a request. Its call id may be any, so none
+    /// is recorded.
     pub fn invalid_set_up(&mut self, class: Option<usize>) {
         self.counts.invalid += 1;
         self.class(class, |counts| &mut counts.error);
     }
 
-    /// A final answer was given to a call that does not stand.
+    /// Counts a final answer to a call that is not established.
     pub fn final_answer(&mut self, call: CallId, class: Option<usize>, verdict: Verdict) {
         if self.ended(call).is_some_and(CallEnd::is_final) {
             self.record_breach(Breach::AnsweredTwice);
--- a/core/src/admit.rs
+++ b/core/src/admit.rs
@@ -1,13 +1,12 @@
-//! Second stage: bounds what is held for calls that wait, so that no flood of set-ups costs the process its
-//! memory.
+//! Second stage: limits the memory held for unanswered calls, so that a flood of set-ups cannot exhaust it.
 
 use steprelay_settings::Site;
 
 use super::Request;
 
-/// Where the settings name no bound.
+/// Applies if the settings name no limit, and as an upper limit if they do.
 const DEFAULT_MAX_OPEN_CALLS: usize = 20_000;
-/// One client may have this part of them open, but so many in any case.
+/// One client may have this fraction of the open calls, but at least `MIN_OPEN_CALLS_PER_CLIENT`.
 const CLIENT_SHARE_DIVISOR: usize = 4;
 const MIN_OPEN_CALLS_PER_CLIENT: usize = 64;
 
@@ -19,7 +18,7 @@
 }
 
 impl Admission {
-    /// Descriptions and numbers of all waiting calls together take up `most_held` bytes at most.
+    /// `max_bytes` limits the total size of the descriptions and numbers of all unanswered calls.
     pub fn new(site: &Site, max_bytes: usize) -> Self {
         let max_open = if site.max_open > 0 {
             site.max_open.min(DEFAULT_MAX_OPEN_CALLS)
@@ -29,7 +28,8 @@
         Admission { max_open, max_bytes, open: 0, bytes: 0 }
     }
 
-    /// Takes up room for a request of a client with so many open; false where there is none.
+    /// Reserves capacity for a request of a client that has `open_of_client` open calls; returns false if
+    /// there is none.
     pub fn admit(&mut self, request: &Request, open_of_client: usize) -> bool {
         let size = size(&request.number, &request.description);
         let max_of_client = (self.max_open / CLIENT_SHARE_DIVISOR).max(MIN_OPEN_CALLS_PER_CLIENT);
--- a/core/src/call_state.rs
+++ b/core/src/call_state.rs
@@ -1,9 +1,10 @@
-//! What is promised of calls, told as it changes to whoever keeps copies of it, and taken over from a call
-//! agent that was lost. Nothing of it happens unless it is asked for ([`Core::tell_promises`]).
+//! Replicated state of calls: changes are published to the replica holders, and calls of a lost call agent
+//! are taken over. All of it is off unless replication is enabled ([`Core::enable_replication`]).
 //!
-//! While it is not known whether another has taken over ([`Core::doubt`]), nothing is said of calls of before
-//! on this call agent's own account. What a server says of one meanwhile is passed on, since it says so to
-//! one call agent alone, once the others were asked whether they have told the caller
+//! While ownership is uncertain ([`Core::set_ownership_uncertain`]), that is while another member may have
+//! taken over the calls of this one, this call agent ends no earlier call and delivers no earlier release on
+//! its own account. A release that a server sends meanwhile is still delivered, since a server sends it to
+//! one call agent only; the other members are asked first whether they have told the caller
 //! ([`super::unclaimed`]).
 
 use std::collections::BTreeSet;
@@ -15,36 +16,37 @@
 use super::send::Attempt;
 use super::{CircuitCall, Core, Effect, ReleaseCause, Verdict};
 
-/// What is promised of a call. Calls that are bound to circuits are no part of it.
+/// Replicated state of a call. Circuit-bound calls are not replicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallState {
-    /// An attempt is out at a server, and nobody was told anything yet.
+    /// An attempt is in flight at a server, and the caller has not been told anything.
     AttemptPending(ServerId),
-    /// Its caller was told that it stands.
+    /// The caller was told that the call is established.
     Established(ServerId),
-    /// Its server has released it, and its caller has not confirmed that.
+    /// The server has released the call, and no caller has acknowledged the release.
     ReleasePending(ServerId, ReleaseCause),
 }
 
-/// Whether promises are told, and what is in doubt.
+/// Whether replication is enabled, and whether ownership of calls is uncertain.
 #[derive(Default)]
 pub(super) struct Replication {
     enabled: bool,
-    /// Calls of before this moment may have been taken over by another.
+    /// Calls from before this time may have been taken over by another member.
     uncertain_since: Option<Micros>,
-    /// Servers that went meanwhile, with the time before which calls came to stand there.
+    /// Servers that ended while ownership was uncertain, with the time before which the calls were
+    /// established that ended with them.
     deferred_ends: Vec<(ServerId, Micros)>,
-    /// New set-ups are refused: nobody could hold copies of them.
+    /// New set-ups are refused because no member could hold their replicas.
     lacks_replicas: bool,
 }
 
 impl Core {
-    /// Has promises told from now on.
+    /// Publishes state changes from now on.
     pub fn enable_replication(&mut self) {
         self.replication.enabled = true;
     }
 
-    /// Set-ups are refused while this is so.
+    /// Refuses set-ups while no member could hold their replicas.
     pub fn refuse_unreplicated(&mut self, lacks_replicas: bool) {
         self.replication.lacks_replicas = lacks_replicas;
     }
@@ -57,8 +59,8 @@
         self.replication.enabled
     }
 
-    /// The promise of a call is another one, or over. `by`: when its caller must have heard of it, where that
-    /// follows from it.
+    /// Publishes the new state of a call, `None` if there is none any more. `notify_by`: when the caller must
+    /// have been told, if the new state implies a message to it.
     pub(super) fn publish_state(
         &mut self,
         call: CallId,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// All that is promised now.
+    /// The replicated states of all calls.
     pub fn call_states(&self) -> impl Iterator<Item = (CallId, CallState)> + '_ {
         let in_flight = self.pending.iter().filter_map(|(call, pending)| {
             Some((*call, CallState::AttemptPending(pending.in_flight?.server)))
@@ -80,7 +82,8 @@
         in_flight.chain(released).filter(|(call, _)| CircuitCall::of(*call).is_none())
     }
 
-    /// It is not known from now on, or known again, whether another has taken over what was promised before.
+    /// Sets whether ownership of the existing calls is uncertain, because another member may have taken them
+    /// over. Server ends that were deferred meanwhile are handled once it is certain again.
     pub fn set_ownership_uncertain(&mut self, now: Micros, is_uncertain: bool) {
         if !is_uncertain {
             self.replication.uncertain_since = None;
@@ -92,27 +95,27 @@
         }
     }
 
-    /// Whether something that is so since then may be another's by now.
+    /// Whether something that dates from `since` may belong to another member by now.
     pub(super) fn is_ownership_uncertain(&self, since: Micros) -> bool {
         self.replication.uncertain_since.is_some_and(|from| since < from)
     }
 
-    /// All members are told that this call's release is given here, where promises are told.
+    /// Tells all members that this member delivers the release of a call, if replication is enabled.
     pub(super) fn announce_release(&mut self, call: CallId) {
         if self.replication.enabled && CircuitCall::of(call).is_none() {
             self.effects.push(Effect::AnnounceRelease { call });
         }
     }
 
-    /// Gives the release of a call that another call agent had.
+    /// Delivers the release of a call that another call agent held.
     fn release_taken_over(&mut self, now: Micros, server: ServerId, call: CallId, cause: ReleaseCause) {
         self.announce_release(call);
-        // Its server may say it here too, once it was acknowledged.
+        // The server may repeat the release to this member after it was acknowledged.
         self.accounting.record_end(call, CallEnd::Answered);
         self.start_delivery(now, None, server, call, cause);
     }
 
-    /// A server went; what stood there is looked at again once there is no doubt.
+    /// Defers the end of a server until ownership is certain.
     pub(super) fn defer_server_end(&mut self, server: ServerId, before: Micros) {
         if self.replication.uncertain_since.is_some()
             && !self.replication.deferred_ends.contains(&(server, before))
@@ -121,12 +124,12 @@
         }
     }
 
-    /// Takes over what another call agent had promised, which is lost.
+    /// Takes over a call of another call agent, which is lost.
     pub fn take_over(&mut self, now: Micros, call: CallId, state: CallState) {
-        // What another member was about to tell the caller, it has not told by its own last word.
+        // By its last replicated state, the lost member had announced the release and not delivered it.
         let is_undelivered =
             matches!(state, CallState::ReleasePending(..)) && self.is_left_to_other_member(call);
-        // Its server has told the other one that it is over, and tells nobody again.
+        // The server has released the call to the lost member and does not repeat that.
         if matches!(state, CallState::ReleasePending(..)) && self.established.get(call).is_some() {
             return self.apply_handover(now, call, Some(state));
         }
@@ -135,7 +138,8 @@
         }
         match state {
             CallState::AttemptPending(server) => {
-                // Nobody is at the other end of it. It may stand there by now: its release cuts that, too.
+                // No caller waits for this attempt. Its call may be established at the server by now: the
+                // release ends that, too.
                 self.accounting.record_end(call, CallEnd::AttemptAborted);
                 self.effects.push(Effect::Release { server, call, cause: ReleaseCause::NORMAL });
                 self.publish_state(call, None, None);
@@ -151,7 +155,7 @@
         }
     }
 
-    /// What one that was succeeded by this call agent knows beyond what was copied in time.
+    /// Applies what the former owner of a taken-over call knows beyond its replicated state.
     pub fn apply_handover(&mut self, now: Micros, call: CallId, state: Option<CallState>) {
         match state {
             None | Some(CallState::AttemptPending(_)) => self.drop_call(now, call),
@@ -168,8 +172,8 @@
         }
     }
 
-    /// The answer to a call will not be given to its caller: the call ends at its server, and what its server
-    /// says of it later is nobody's news.
+    /// Withdraws the answer to a call, which its caller will not receive: the call is released at its server,
+    /// and a later release by the server is not delivered.
     pub fn withdraw_answer(&mut self, now: Micros, call: CallId) {
         if let Some(established) = self.established.remove(call) {
             self.publish_state(call, None, None);
@@ -186,14 +190,14 @@
         self.accounting.record_end(call, CallEnd::Answered);
     }
 
-    /// Takes back answers to these calls that have not left the core yet.
+    /// Takes back the answers to these calls that are still among the accumulated effects.
     pub fn take_back_answers(&mut self, calls: &BTreeSet<CallId>) -> Vec<Effect> {
         let is_answer =
             |effect: &mut Effect| matches!(effect, Effect::Answer { call, .. } if calls.contains(call));
         self.effects.extract_if(.., is_answer).collect()
     }
 
-    /// A call that is no longer this call agent's, and whose end is another's to tell.
+    /// Removes a call that no longer belongs to this call agent; another member tells the caller of its end.
     pub(super) fn drop_call(&mut self, now: Micros, call: CallId) {
         if let Some(established) = self.established.remove(call) {
             self.end_established(now, call, established, Outcome::Ok, Report::default());
@@ -204,8 +208,8 @@
         self.accounting.record_end(call, CallEnd::HandledElsewhere);
     }
 
-    /// Another call agent has taken these calls over: nothing more is said of them, but for set-ups that have
-    /// no answer yet, which get theirs now.
+    /// Gives up calls that another call agent has taken over. No more messages are sent for them, except the
+    /// final answers to set-ups that have none yet.
     pub fn relinquish(&mut self, now: Micros, calls: &BTreeSet<CallId>) {
         let was_enabled = std::mem::replace(&mut self.replication.enabled, false);
         for call in calls {
@@ -217,14 +221,16 @@
                 }
                 self.send_final_answer(now, *call, Verdict::Failed);
             } else if let Some(established) = self.established.remove(*call) {
-                // Not known to be over: where its server says here that it is, that is passed on.
+                // The call is not known to have ended: if its server releases it here, that release is passed
+                // on.
                 self.hand_off_established(now, *call, established);
             } else if self
                 .replication
                 .uncertain_since
                 .is_none_or(|from| self.deliveries.began_before(*call, from))
             {
-                // What came up since the doubt began all members were told of: it is given here.
+                // Releases that began after ownership became uncertain were announced to all members, so they
+                // are delivered here.
                 self.deliveries.remove(*call);
                 self.unclaimed.remove(*call);
             }
@@ -232,7 +238,7 @@
         self.replication.enabled = was_enabled;
     }
 
-    /// Whether nothing is known of a call but that another member sees to its end.
+    /// Whether all that is known of a call is that another member handles its end.
     pub(super) fn is_left_to_other_member(&self, call: CallId) -> bool {
         self.accounting.ended(call) == Some(CallEnd::HandledElsewhere) && self.state_of(call).is_none()
     }
--- a/core/src/cause.rs
+++ b/core/src/cause.rs
@@ -15,7 +15,7 @@
     pub const TIMER: Self = ReleaseCause(102);
     pub const PROTOCOL: Self = ReleaseCause(111);
 
-    /// How an attempt ended that a server released before its answer.
+    /// The outcome of an attempt that a server released before its answer.
     pub fn outcome_before_answer(self) -> Outcome {
         match self {
             Self::NO_CIRCUIT | Self::CONGESTION => Outcome::Full,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// How a call ended that had stood.
+    /// The outcome of an established call that a server released.
     pub fn outcome_after_answer(self) -> Outcome {
         if self == Self::NORMAL {
             Outcome::Ok
--- a/core/src/circuit_call.rs
+++ b/core/src/circuit_call.rs
@@ -1,11 +1,11 @@
-//! Ids of calls that came without one. They name the client and its circuit, so that a release can be passed
-//! on also by a process that has started since the call came to stand.
+//! Ids of calls on circuits, which arrive without an id. Such an id names the client and its circuit, so that
+//! a process that was started after the call was established can still relay its release.
 
 use steprelay_decisions::CallId;
 
 use super::ClientId;
 
-/// Marks these ids among others, which are drawn at random.
+/// Tells these ids from others, which are random.
 const MARKER: u64 = 0x4d33;
 const CIRCUIT_BITS: u32 = 12;
 const INCARNATION_BITS: u32 = 10;
@@ -13,10 +13,10 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CircuitCall {
-    /// The place of the client among those whose calls are bound to circuits.
+    /// The index of the client among those with circuit-bound calls.
     pub client: u8,
     pub circuit: u16,
-    /// Tells this start of the program from others, as good as always.
+    /// Tells this incarnation of the process from earlier ones, with near certainty.
     pub incarnation: u16,
 }
 
--- a/core/src/clients.rs
+++ b/core/src/clients.rs
@@ -1,5 +1,5 @@
-//! Who calls are taken from: the connections of callers and the peers of the M3UA front. Bounds how many
-//! there are, and lets go of those that are of no use, so that nobody keeps the places that others need.
+//! The clients that calls are received from: callers' connections and the peers of the M3UA front. Limits
+//! their number and closes idle ones, so that no client can use up the connections.
 
 use std::collections::BTreeMap;
 
@@ -7,49 +7,51 @@
 
 use super::round_trip::RoundTrips;
 
-/// A connection that has sent nothing that makes sense is let go after this time.
+/// A connection without any valid input is closed after this time.
 const FIRST_INPUT_TIMEOUT: Micros = 2_000_000;
-/// One with no call on it, after this: callers close theirs after 4 s.
+/// A connection without calls is closed after this time; callers close theirs after 4 s.
 const IDLE_TIMEOUT: Micros = 5_000_000;
-/// Clients that are sent away have this long for the first word on a new connection.
+/// While clients are drained, a new connection has this long to send its first input.
 const FIRST_INPUT_GRACE: Micros = 200_000;
-/// A connection on which nothing comes for so long after a release has left is taken for one that does not
-/// listen: one that has made tests only; one that has made calls; one that has acknowledged a release before.
-/// Each leaves time for another one in the second in which a caller is to have a release.
+/// A connection on which nothing is received for this long after a release was sent is taken for one that is
+/// not read: one that has sent only health checks; one that has made calls; one that has acknowledged a
+/// release before. Each leaves time for another connection in the one second in which a caller must receive a
+/// release.
 const ACK_TIMEOUT_HEALTH_CHECK_ONLY: Micros = 150_000;
 const ACK_TIMEOUT_CALLING: Micros = 400_000;
 const ACK_TIMEOUT_ACKNOWLEDGING: Micros = 600_000;
-/// The same for the later connections that are given one release: the first took most of the second.
+/// The same for further connections that a release is redelivered on, since the first one took most of the
+/// second.
 const ACK_TIMEOUT_REDELIVERY: Micros = 150_000;
-/// Where acknowledgements take longer than that, since this machine or the callers' are far behind, so does
-/// the patience with callers, within this.
+/// If acknowledgements take longer than these timeouts, since this machine or the callers' are overloaded,
+/// the timeouts grow with them up to this limit.
 const MAX_ACK_TIMEOUT: Micros = 4_000_000;
 
-/// Whoever calls are taken from and answered to: a caller's connection, or a peer of the M3UA front.
+/// A client that makes calls and receives answers: a caller's connection, or a peer of the M3UA front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
 impl ClientId {
-    /// Marks the ids of clients whose calls are bound to circuits of theirs.
+    /// Set in the ids of clients whose calls are bound to circuits.
     pub const CIRCUIT_BOUND: u64 = 1 << 63;
 
-    /// Whether calls of this client can be released through it only.
+    /// Whether the calls of this client can be released through this client only.
     pub fn is_circuit_bound(self) -> bool {
         self.0 & Self::CIRCUIT_BOUND != 0
     }
 }
 
-/// The machine that a connection comes from.
+/// The address of the machine that a connection comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peer(pub u128);
 
-/// What may be held at once.
+/// Limits on what the core holds at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CoreLimits {
-    /// Connections of callers in all, and those of one peer.
+    /// Connections of callers in total, and from one peer.
     pub connections: usize,
     pub connections_per_peer: usize,
-    /// Bytes of descriptions and numbers of waiting calls.
+    /// Bytes of the descriptions and numbers of unanswered calls.
     pub pending_call_bytes: usize,
 }
 
@@ -57,26 +59,26 @@
 struct Client {
     peer: Option<Peer>,
     opened: Micros,
-    /// What came from it, whether it made sense or not.
+    /// Number of inputs received, valid or not.
     inputs: u64,
-    /// When something that makes sense last came from it.
+    /// When the last valid input was received.
     last_input: Option<Micros>,
-    /// When it last made a call that was taken in, and whether any has stood.
+    /// When its last accepted call was made, and whether any of its calls has been established.
     last_call: Option<Micros>,
     proven: bool,
-    /// When the latest release that it has acknowledged had left.
+    /// When the latest release that it has acknowledged was sent.
     last_acknowledged: Option<Micros>,
-    /// A release was not acknowledged in time, and nothing has come since.
+    /// It did not acknowledge a release in time, and no input was received since.
     unresponsive: bool,
-    /// It can be told nothing for now.
+    /// It cannot be sent messages for now.
     unreachable: bool,
-    /// Its calls that wait for an answer, and those that stand.
+    /// Its unanswered calls, and its established calls.
     open: usize,
     established: usize,
 }
 
 impl Client {
-    /// The lower, the less is lost with its connection.
+    /// Connections are evicted in ascending order; the lower the rank, the less is lost with the connection.
     fn eviction_rank(&self) -> impl Ord {
         (self.last_call.is_some(), self.established > 0, self.last_input, self.opened)
     }
@@ -85,7 +87,7 @@
 pub struct Clients {
     limits: CoreLimits,
     clients: BTreeMap<ClientId, Client>,
-    /// From when a release has left until its acknowledgement is read.
+    /// Times from sending a release to reading its acknowledgement.
     round_trips: RoundTrips,
 }
 
@@ -94,7 +96,7 @@
         Clients { limits, clients: BTreeMap::new(), round_trips: RoundTrips::default() }
     }
 
-    /// Takes in a connection; returns the one to let go of where there are too many.
+    /// Adds a connection; returns the one to close if a limit is exceeded.
     pub fn opened(&mut self, id: ClientId, peer: Option<Peer>, now: Micros) -> Option<ClientId> {
         let (last_input, last_call, proven) = (None, None, id.is_circuit_bound());
         let (opened, last_acknowledged, unresponsive, unreachable) = (now, None, false, false);
@@ -120,7 +122,8 @@
         (self.connections() > self.limits.connections).then(|| self.eviction_candidate(|_| true, id))
     }
 
-    /// The connection that is missed least, of those without an open set-up; the latest as the last choice.
+    /// The connection with the lowest eviction rank among those without an unanswered call; the latest one if
+    /// there is no other.
     fn eviction_candidate(&self, among: impl Fn(&Client) -> bool, latest: ClientId) -> ClientId {
         let candidates = self.clients.iter().filter(|(id, client)| {
             !id.is_circuit_bound() && **id != latest && client.open == 0 && among(client)
@@ -128,7 +131,7 @@
         candidates.min_by_key(|(_, client)| client.eviction_rank()).map_or(latest, |(id, _)| *id)
     }
 
-    /// Connections that only hold a place.
+    /// Connections that have been idle for too long.
     pub fn idle(&self, now: Micros) -> Vec<ClientId> {
         let idle = self.clients.iter().filter(|(id, client)| {
             let is_idle = client.open == 0 && client.established == 0;
@@ -171,20 +174,22 @@
         self.clients.get(&client).is_some_and(|client| client.unreachable)
     }
 
-    /// It has acknowledged a release that had left at this time.
+    /// The client acknowledged a release that was sent at this time.
     pub fn release_acknowledged(&mut self, now: Micros, client: ClientId, sent: Micros) {
         self.round_trips.record(now - sent);
         self.change(client, |client| client.last_acknowledged = client.last_acknowledged.max(Some(sent)));
     }
 
-    /// It has not acknowledged a release in time: it comes last for others until it says something.
+    /// The client did not acknowledge a release in time: it is the last choice for other releases until input
+    /// is received from it.
     pub fn set_unresponsive(&mut self, client: ClientId) {
         self.change(client, |client| client.unresponsive = true);
     }
 
-    /// Until when the acknowledgement of a release that left at this time is waited for; `deliveries`: to so
-    /// many connections by now. A connection that is known to listen is heard out while it says anything, for
-    /// `MAX_PATIENCE` at most, unless it has acknowledged a later release and so passed this one over.
+    /// When the acknowledgement of a release that was sent at this time is overdue; `deliveries`: the number
+    /// of connections it was delivered on so far. A connection that has acknowledged releases before gets
+    /// more time while input is received on it, up to `MAX_ACK_TIMEOUT`, unless it has acknowledged a later
+    /// release and so skipped this one.
     pub fn ack_deadline(&self, client: ClientId, sent: Micros, deliveries: usize) -> Micros {
         let Some(client) = self.clients.get(&client) else { return sent };
         let timeout = |first: Micros| {
@@ -202,13 +207,13 @@
         }
     }
 
-    /// Something that makes no sense came from it.
+    /// Invalid input was received from the client.
     pub fn invalid_input_received(&mut self, client: ClientId) {
         self.change(client, |client| client.inputs += 1);
     }
 
-    /// The connection that is kept for releases when clients are sent away, the one with most calls standing,
-    /// and how many those are.
+    /// The connection that is kept for releases while clients are drained, which is the one with most
+    /// established calls, and the number of those calls.
     pub fn last_to_drain(&self) -> Option<(ClientId, usize)> {
         let callers =
             self.clients.iter().filter(|(id, client)| !id.is_circuit_bound() && client.last_call.is_some());
@@ -216,13 +221,13 @@
         last.map(|(id, client)| (*id, client.established))
     }
 
-    /// Connections of callers.
+    /// Number of callers' connections.
     pub fn connections(&self) -> usize {
         self.clients.keys().filter(|id| !id.is_circuit_bound()).count()
     }
 
-    /// Those without an open set-up, with how many inputs each has brought; not one that was just opened, on
-    /// which the first is on its way.
+    /// Connections without an unanswered call, with the number of inputs received on each. Leaves out a
+    /// connection that was just opened, whose first input is on its way.
     pub fn without_open_calls(&self, now: Micros) -> impl Iterator<Item = (ClientId, u64)> + '_ {
         let clients = self.clients.iter().filter(move |(id, client)| {
             let has_begun = client.inputs > 0 || now >= client.opened + FIRST_INPUT_GRACE;
@@ -238,7 +243,7 @@
         });
     }
 
-    /// A call of it waits no more.
+    /// A call of the client is no longer unanswered.
     pub fn call_answered(&mut self, client: ClientId) {
         self.change(client, |client| client.open = client.open.saturating_sub(1));
     }
@@ -250,7 +255,7 @@
         });
     }
 
-    /// A call of it stands no more.
+    /// An established call of the client has ended.
     pub fn call_ended(&mut self, client: ClientId) {
         self.change(client, |client| client.established = client.established.saturating_sub(1));
     }
@@ -259,15 +264,16 @@
         self.clients.get(&client).map_or(0, |client| client.open)
     }
 
-    /// Whether a call of it has stood, so that its set-ups are known to make sense to servers.
+    /// Whether a call of the client has been established, which shows that its set-ups are valid to servers.
     pub fn is_proven(&self, client: ClientId) -> bool {
         self.clients.get(&client).is_some_and(|client| client.proven)
     }
 
-    /// Who can pass on the release of a call of `own`, other than those that were given it: a peer that owns
-    /// the call, else the connection that made it, else one that is known to listen: that has acknowledged a
-    /// release, then one on which a call has stood, then the one that made the latest call. One that has made
-    /// none may be there for tests alone and not listen, so it comes last, and only if `untested` ones may.
+    /// The client to deliver the release of a call of `own` on, other than the previous `recipients`. That is
+    /// the client that owns the call if its calls are circuit-bound, else the connection that made the call,
+    /// else a connection that is known to be read: one that has acknowledged a release, then one that has had
+    /// an established call, then the one that made the latest call. A connection that has made no call may be
+    /// there for health checks only and ignore releases, so it comes last, and only if `any_client` is set.
     pub fn release_recipient(
         &self,
         own: Option<ClientId>,
--- a/core/src/delivery.rs
+++ b/core/src/delivery.rs
@@ -1,17 +1,18 @@
-//! Delivery of releases to callers: each is given to a connection that can take it, and to another one where
-//! that connection turns out not to listen, until a caller acknowledges it.
+//! Delivery of releases to callers. A release is delivered on one connection, and redelivered on another one
+//! if the first does not acknowledge it, until a caller acknowledges it.
 //!
-//! | stage | what is known | what comes next |
+//! | stage | meaning | next step |
 //! | --- | --- | --- |
-//! | pending | no connection could take it | given to the next one that can |
-//! | queued | it waits in a connection's send queue | sent; taken back where that takes nothing |
-//! | sent | its last byte has left | acknowledged; else the connection is asked for unread words |
-//! | sent, silent | nothing came that was not handed on | redelivered |
-//! | acknowledged | a caller knows | forgotten |
+//! | pending | no connection could take the release | delivered on the next one that can |
+//! | queued | it is in a connection's send queue | sent; withdrawn if the connection does not drain |
+//! | sent | its last byte was sent | acknowledged; else the connection is checked for unread input |
+//! | sent, no unread input | the caller did not acknowledge in time | redelivered |
+//! | acknowledged | a caller knows of the release | removed |
 //!
-//! A deadline on a caller's word begins when the release has left, and is over only when the connection's own
-//! reader has said that nothing waits on it. So a late turn of this process is never taken for a caller's
-//! silence. Redelivery to a caller that has heard the release already breaks the rule that it is given once.
+//! The acknowledgement timeout starts when the release has been sent, and expires only after the connection's
+//! own reader has reported that it holds no unread input. So a delay of this process is never taken for a
+//! missing acknowledgement. Redelivery to a caller that has already received the release would break the rule
+//! that it is delivered once.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,18 +22,18 @@
 use super::unclaimed::{PriorClaim, UnclaimedRelease};
 use super::{CallState, ClientId, Core, Effect, ReleaseCause, TimerEvent};
 
-/// A release is worth delivering for so long.
+/// How long the delivery of a release is attempted.
 const DELIVERY_DEADLINE: Micros = 8_000_000;
-/// More of them than this are not kept.
+/// Releases beyond this number are dropped and counted as lost.
 const MAX_PENDING_RELEASES: usize = 20_000;
-/// A release that no connection could take is tried again this often.
+/// Retry interval of a release that no connection could take.
 const RETRY_INTERVAL: Micros = 150_000;
-/// A release that has not left within this is taken back: its connection takes nothing.
+/// A release that was not sent within this time is withdrawn: its connection does not drain.
 const SEND_TIMEOUT: Micros = 150_000;
-/// A connection that is not known to be silent is asked again after this.
+/// Interval between two checks for unread input on a connection that has not acknowledged a release.
 const SILENCE_CHECK_INTERVAL: Micros = 50_000;
-/// A connection on which a caller may still acknowledge a release is not let go of for so long where clients
-/// are sent away, and for so long where it is idle.
+/// How long a connection that may still acknowledge a release is kept open: while clients are drained, and
+/// when it is idle.
 pub const DRAIN_ACK_GRACE: Micros = 600_000;
 pub const IDLE_ACK_GRACE: Micros = 250_000;
 
@@ -40,25 +41,25 @@
 enum Stage {
     /// No connection could take it.
     Pending,
-    /// It waits in the send queue of the connection that was given it last.
+    /// It is in the send queue of its last recipient.
     Queued,
-    /// Its last byte has left on that connection at this time.
+    /// Its last byte was sent on that connection at this time.
     Sent(Micros),
 }
 
 /// A release that no caller has acknowledged.
 #[derive(Clone, Debug)]
 struct Delivery {
-    /// Who made the call, where that is known.
+    /// The client that made the call, if known.
     client: Option<ClientId>,
     server: ServerId,
     cause: ReleaseCause,
     since: Micros,
-    /// The connections that were given it, the last one last, and when that one was.
+    /// The connections that it was delivered on, the last one last, and when it was queued on that one.
     recipients: Vec<ClientId>,
     delivered_at: Micros,
     stage: Stage,
-    /// When it is looked at again.
+    /// When it is checked again.
     due: Micros,
 }
 
@@ -72,7 +73,7 @@
 #[derive(Default)]
 pub struct Deliveries {
     releases: BTreeMap<CallId, Delivery>,
-    /// Those of them that no connection could be given yet.
+    /// The releases that wait for a connection.
     pending: BTreeSet<CallId>,
 }
 
@@ -95,7 +96,8 @@
             .map(|(call, release)| (*call, CallState::ReleasePending(release.server, release.cause)))
     }
 
-    /// Connections that were given a release less than so long ago, and may still acknowledge it.
+    /// The last recipients of releases that were delivered less than `within` ago and may still be
+    /// acknowledged.
     pub fn unacknowledged(&self, now: Micros, within: Micros) -> BTreeSet<ClientId> {
         let may_be_acknowledged =
             |release: &&Delivery| release.stage != Stage::Pending && now < release.delivered_at + within;
@@ -106,12 +108,12 @@
             .collect()
     }
 
-    /// Whether a release came up before this moment.
+    /// Whether the delivery of a release began before this moment.
     pub fn began_before(&self, call: CallId, moment: Micros) -> bool {
         self.releases.get(&call).is_some_and(|release| release.since < moment)
     }
 
-    /// Whether a caller was given the release.
+    /// Whether the release was delivered on any connection.
     pub fn was_delivered(&self, call: CallId) -> bool {
         self.releases.get(&call).is_some_and(|release| !release.recipients.is_empty())
     }
@@ -121,7 +123,7 @@
         self.pending.remove(&call);
     }
 
-    /// Forgets a release that nobody was given yet; whether there was one.
+    /// Removes a release that was not delivered on any connection; returns whether there was one.
     pub fn remove_undelivered(&mut self, call: CallId) -> bool {
         let pending = self.releases.get(&call).is_some_and(|release| release.recipients.is_empty());
         if pending {
@@ -130,14 +132,14 @@
         pending
     }
 
-    /// The release of a call, where this connection was given it last.
+    /// The release of a call, if this connection is its last recipient.
     fn delivered_to(&mut self, client: ClientId, call: CallId) -> Option<&mut Delivery> {
         self.releases.get_mut(&call).filter(|release| release.is_last_recipient(client))
     }
 }
 
 impl Core {
-    /// A release has left on a connection, at this time.
+    /// The last byte of a release was sent on a connection at this time.
     pub fn release_sent(&mut self, at: Micros, client: ClientId, call: CallId) {
         if let Some(release) = self.deliveries.delivered_to(client, call) {
             release.stage = Stage::Sent(at);
@@ -145,17 +147,17 @@
         }
     }
 
-    /// A release that waited for a connection was taken back before its first byte left. Where no other one
-    /// can take it, that connection is given it again.
+    /// A queued release was withdrawn before its first byte was sent. If no other connection can take the
+    /// release, the same one gets it again.
     pub fn release_withdrawn(&mut self, now: Micros, client: ClientId, call: CallId) {
         if self.take_back(client, call) {
-            // It comes last until it says something.
+            // The connection is the last choice until input is received on it.
             self.clients.set_unresponsive(client);
             self.deliver(now, call);
         }
     }
 
-    /// A connection was not given a release in the end; whether it was the last one that it was for.
+    /// Undoes the delivery on a connection; returns whether that connection was the last recipient.
     fn take_back(&mut self, client: ClientId, call: CallId) -> bool {
         let release = self.deliveries.delivered_to(client, call);
         let taken_back = release.map(|release| {
@@ -165,8 +167,9 @@
         taken_back.is_some()
     }
 
-    /// A release is about to leave. Returns whether it is not to: it was decided on before the doubt whether
-    /// another member has taken the call over, which is asked first.
+    /// Called just before a release is sent; returns whether it must be withheld. That is so if its delivery
+    /// began before ownership of calls became uncertain: the other members are asked first whether one has
+    /// taken the call over.
     pub fn withhold_release(&mut self, now: Micros, client: ClientId, call: CallId) -> bool {
         let Some(release) = self.deliveries.delivered_to(client, call) else { return false };
         let (client_of_call, server, cause) = (release.client, release.server, release.cause);
@@ -175,7 +178,7 @@
             return false;
         }
         if deliveries > 1 {
-            // A connection that was given it before may have acknowledged it by now.
+            // An earlier recipient may have acknowledged the release by now.
             return self.take_back(client, call);
         }
         self.deliveries.remove(call);
@@ -188,7 +191,7 @@
         true
     }
 
-    /// Asked for by [`Effect::AskIfSilent`]: nothing waits on a connection that was not handed on before
+    /// Reply to [`Effect::CheckUnreadInput`]: the connection holds no input that was not handed on before
     /// this.
     pub fn no_unread_input(&mut self, now: Micros, client: ClientId, call: CallId) {
         let Some(release) = self.deliveries.delivered_to(client, call) else { return };
@@ -216,7 +219,7 @@
         self.publish_state(call, None, None);
     }
 
-    /// Takes a release on, and gives it to a connection if one can take it.
+    /// Starts the delivery of a release, on a connection if one can take it.
     pub(super) fn start_delivery(
         &mut self,
         now: Micros,
@@ -239,7 +242,7 @@
         self.check_delivery(now, call);
     }
 
-    /// Looks after a release until it is acknowledged, or nobody waits for it any more.
+    /// Advances the delivery of a release and schedules its next check, unless the delivery has ended.
     pub(super) fn check_delivery(&mut self, now: Micros, call: CallId) {
         let Some(release) = self.deliveries.releases.get(&call) else { return };
         if release.due <= now && !self.is_ownership_uncertain(release.since) {
@@ -253,7 +256,7 @@
         self.timers.push(Reverse((at, TimerEvent::DeliveryCheck(call))));
     }
 
-    /// Does what is due for a release.
+    /// Takes the next step of a delivery that is due.
     fn advance(&mut self, now: Micros, call: CallId) {
         let Some(release) = self.deliveries.releases.get_mut(&call) else { return };
         if now >= release.since + DELIVERY_DEADLINE {
@@ -278,7 +281,7 @@
         }
     }
 
-    /// Nobody waits for a release any more.
+    /// Ends a delivery without acknowledgement at its deadline.
     fn abandon_delivery(&mut self, call: CallId) {
         let Some(release) = self.deliveries.releases.get(&call) else { return };
         let deliveries = release.recipients.len();
@@ -291,10 +294,10 @@
         self.publish_state(call, None, None);
     }
 
-    /// Gives a release to the next connection that can take it.
+    /// Delivers a release on the next connection that can take it.
     fn deliver(&mut self, now: Micros, call: CallId) {
         let Some(since) = self.deliveries.releases.get(&call).map(|release| release.since) else { return };
-        // Another member may have given it meanwhile.
+        // Another member may have delivered it meanwhile.
         let is_uncertain = self.is_ownership_uncertain(since);
         let Some(release) = self.deliveries.releases.get_mut(&call) else { return };
         let any_client = now >= release.since + RETRY_INTERVAL;
@@ -312,7 +315,7 @@
         (release.delivered_at, release.stage, release.due) = (now, Stage::Queued, now + SEND_TIMEOUT);
         self.deliveries.pending.remove(&call);
         if client.is_circuit_bound() {
-            // Its front sees to it that the release is acknowledged.
+            // The signalling front makes sure that the release is acknowledged.
             self.deliveries.releases.remove(&call);
             self.publish_state(call, None, None);
         }
@@ -325,7 +328,7 @@
         }
     }
 
-    /// A connection is gone: what it was given last may never have arrived.
+    /// A connection was closed: the releases delivered on it last may never have arrived.
     pub(super) fn redeliver_from(&mut self, now: Micros, client: ClientId) {
         let calls = self.deliveries.releases.iter().filter(|(_, release)| release.is_last_recipient(client));
         for call in calls.map(|(call, _)| *call).collect::<Vec<_>>() {
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The call agent without sockets: requests, attempts and outcomes.
+//! The call agent's core: calls, attempts and outcomes, without sockets, clock or wire format.
 //!
-//! It does no I/O, keeps no clock and knows no wire. The owner hands it what has happened with the present
-//! time and takes the effects that follow. A request passes one stage after the other: [`take_in`],
-//! [`admit`], [`route`], [`send`], [`relay`]; [`book`] counts what became of it.
+//! The owner passes in events with the current time and carries out the [`Effect`]s that the core returns. A
+//! set-up passes these stages in turn: [`validate`], [`admit`], [`route`], [`send`], [`relay`];
+//! [`accounting`] counts its outcome.
 
 mod accounting;
 mod admit;
@@ -45,31 +45,32 @@
 use send::PendingCall;
 use unclaimed::UnclaimedReleases;
 
-/// A list of servers is kept for each place that names them, so that a whole list replaces only its own.
+/// Where a server list comes from. The core holds one list per source, so that a full list replaces only the
+/// entries of its own source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ListSource {
     Discovery,
     M3ua,
 }
 
-/// A set-up as a front has read it.
+/// A parsed set-up.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub call: CallId,
     pub class: usize,
     pub tenant: usize,
-    /// The number of the server of first choice, where one is named.
+    /// Number of the preferred server, if the caller names one.
     pub dest: Option<u32>,
-    /// The number called.
+    /// The called number.
     pub number: Rc<str>,
     pub description: Rc<str>,
-    /// When its last byte came, and how long its caller waited from then on.
+    /// When the last byte of the set-up was received, and how long its caller waits from then on.
     pub received_at: Micros,
     pub remaining: Micros,
     pub was_cut: bool,
 }
 
-/// What a front does for the core.
+/// A request of the core to its owner: a message to send, or a notification.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     SetUp {
@@ -80,7 +81,8 @@
         server: ServerId,
         call: CallId,
     },
-    /// A set-up is taken back if it has not left; where it was, that is told as one that was not sent.
+    /// Takes a set-up back from the send queue if its first byte has not been sent; reported with
+    /// [`Core::not_sent`] if it was taken back.
     WithdrawSetUp {
         server: ServerId,
         call: CallId,
@@ -108,128 +110,130 @@
         call: CallId,
         cause: ReleaseCause,
     },
-    /// A release that was given to this client is taken back if its first byte has not left; that is told as
-    /// [`Core::release_withdrawn`], else as [`Core::release_sent`].
+    /// Takes a release back from this client's send queue if its first byte has not been sent. Reported with
+    /// [`Core::release_withdrawn`] if it was taken back, else with [`Core::release_sent`].
     WithdrawRelease {
         client: ClientId,
         call: CallId,
     },
-    /// Where nothing waits on the client's connection that was not handed on, that is told as
-    /// [`Core::client_silent`].
+    /// Asks whether the client's connection holds input that was not handed on; if it holds none, that is
+    /// reported with [`Core::no_unread_input`].
     CheckUnreadInput {
         client: ClientId,
         call: CallId,
     },
-    /// Nobody acknowledged a release that so many connections were given, and nobody waits for it any more.
+    /// The delivery of a release ended without an acknowledgement, after this number of connections had
+    /// received it.
     DeliveryAbandoned {
         call: CallId,
         deliveries: usize,
     },
-    /// The client's connection is ended.
+    /// Closes the client's connection.
     Close {
         client: ClientId,
     },
-    /// The client's connection is ended if nothing has come on it besides so many inputs: nothing waits on it
-    /// for an answer then. Otherwise it is asked for again.
+    /// Closes the client's connection if no more than this number of inputs was received on it, so that no
+    /// input waits for an answer. Otherwise the core asks again later.
     CloseIfIdle {
         client: ClientId,
         inputs: u64,
     },
-    /// Nothing more is read from the client once all that has come was handed on; that is told as
+    /// Stops reading from the client once all received input was handed on; reported with
     /// [`Core::client_paused`].
     Pause {
         client: ClientId,
     },
-    /// All that was read from a client that is paused, so many inputs, is answered: its connection is ended,
-    /// or read again where it has been paused for too long.
+    /// The paused client sent this number of inputs and all are answered: closes its connection, or resumes
+    /// reading if it has been paused for too long.
     CloseIfPaused {
         client: ClientId,
         inputs: u64,
     },
-    /// The client is read again.
+    /// Resumes reading from the client.
     Resume {
         client: ClientId,
     },
-    /// What is promised of a call has changed, `None` for nothing any more; where it was asked for. `by`:
-    /// when its caller must have heard of it, where that follows from it.
+    /// The replicated state of a call changed; `None` if there is none any more. Only while replication is
+    /// enabled. `notify_by`: when the caller must have been told, if the new state implies a message to it.
     CallStateChanged {
         call: CallId,
         state: Option<CallState>,
         notify_by: Option<Micros>,
     },
-    /// A caller has acknowledged the release of a call; where promises are told.
+    /// A caller acknowledged the release of a call. Only while replication is enabled.
     ReleaseAcknowledged {
         call: CallId,
     },
-    /// The end of a call that was not known here is passed on; where promises are told.
+    /// Tells the other members that this member delivers the release of a call that it did not hold itself.
+    /// Only while replication is enabled.
     AnnounceRelease {
         call: CallId,
     },
-    /// The caller of a call, which another member is about to see to, was told here that it is over.
+    /// Tells another member, which is about to end this call, that this member already told the caller.
     ReleaseDelivered {
         call: CallId,
     },
     Log(String),
 }
 
-/// A set-up towards a server.
+/// A set-up to send to a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUp {
     pub call: CallId,
     pub class: usize,
     pub number: Rc<str>,
     pub description: Rc<str>,
-    /// How long the answer is waited for.
+    /// How long to wait for the answer.
     pub wait: Micros,
 }
 
-/// The final answer to a call that does not stand.
+/// The final answer to a call that is not established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Trying again is harmless, after this wait.
+    /// The caller may safely retry after this wait.
     Refused {
         wait: Option<Micros>,
     },
     Failed,
-    /// The set-up itself was wrong.
+    /// The set-up is invalid.
     Invalid,
 }
 
-/// How a connection to a server came to its end.
+/// How a connection to a server was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkLoss {
-    /// The dial was refused: no process is there, and nothing ran.
+    /// The server refused the connection: no process listens there, and no set-up was executed.
     Refused,
-    /// The dial was not answered in time: nothing ran, and what stands there may still stand.
+    /// The connection attempt timed out: no set-up was executed, and calls established there may still be up.
     Unanswered,
     /// An open connection was reset or closed.
     Dropped,
-    /// It was closed on this side, since what came on it could not be read.
+    /// This side closed the connection because the input on it could not be parsed.
     Unreadable,
 }
 
-/// How often connections that only hold a place are looked for.
+/// How often idle connections are looked for.
 const IDLE_SWEEP_INTERVAL: Micros = 250_000;
-/// How often quiet connections are looked for while clients are sent away.
+/// How often connections without open calls are looked for while clients are drained.
 const DRAIN_SWEEP_INTERVAL: Micros = 20_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerEvent {
     Tick,
     CallTimer(CallId),
-    /// The end of this attempt's time.
+    /// The attempt with this number was not answered in time.
     AttemptTimeout(CallId, u32),
-    /// The end of the call's time, whatever is out.
+    /// The time for the call's final answer has come, even if an attempt is in flight.
     AnswerDeadline(CallId),
-    /// A release that is not acknowledged is looked at again.
+    /// The delivery of a release is checked again.
     DeliveryCheck(CallId),
-    /// No member has claimed this release in time.
+    /// No member claimed this release in time.
     ClaimTimeout(CallId),
-    /// Connections that only hold a place are looked for.
+    /// Idle connections are closed.
     IdleSweep,
-    /// Clients are sent away.
+    /// Connections without open calls are closed while clients are drained.
     DrainSweep,
-    /// The process ends soon: all that is open is answered.
+    /// The shutdown deadline is near: all open calls get their final answers.
     FinalAnswers,
 }
 
@@ -245,7 +249,7 @@
     lifecycle: Lifecycle,
     replication: Replication,
     unclaimed: UnclaimedReleases,
-    /// A look for quiet connections is due.
+    /// A drain sweep is in `timers`.
     drain_sweep_scheduled: bool,
     timers: BinaryHeap<Reverse<(Micros, TimerEvent)>>,
     actions: VecDeque<Action>,
@@ -275,12 +279,12 @@
         }
     }
 
-    /// What has to be done since it was last asked.
+    /// Returns the effects that have accumulated since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether a set-up is about to leave.
+    /// Whether a set-up is among the accumulated effects.
     pub fn has_set_up_to_send(&self) -> bool {
         self.effects.iter().any(|effect| matches!(effect, Effect::SetUp { .. }))
     }
@@ -289,12 +293,12 @@
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Set-ups taken in and not answered yet.
+    /// Number of calls that were accepted and have no final answer.
     pub fn unanswered_calls(&self) -> usize {
         self.pending.len()
     }
 
-    /// The caller of a call whose answer is awaited, and the server at which its attempt is out.
+    /// The client of an unanswered call and the server of its attempt in flight.
     pub fn attempt_of(&self, call: CallId) -> Option<(ClientId, ServerId)> {
         let pending = self.pending.get(&call)?;
         Some((pending.client, pending.in_flight?.server))
@@ -304,7 +308,7 @@
         self.established.len()
     }
 
-    /// Releases of calls that are not known here, of which other members are asked.
+    /// Number of releases of calls unknown to this member that wait for other members to claim them.
     pub fn unclaimed_releases(&self) -> usize {
         self.unclaimed.len()
     }
@@ -313,7 +317,8 @@
         &self.accounting.counts
     }
 
-    /// The servers that were ever listed, with what was sent there and the bound of the image, if any.
+    /// All known servers, including those gone from the list, with their counts and the bound of their
+    /// images, if any.
     pub fn servers(&self, now: Micros) -> impl Iterator<Item = (Entry, ServerCounts, Option<f64>)> + '_ {
         self.route.entries().map(move |entry| {
             (entry.clone(), self.accounting.server(entry.server), self.route.image(now, entry.server))
@@ -352,14 +357,15 @@
         &self.lifecycle
     }
 
-    /// Changes whether work is taken, and follows it up.
+    /// Applies a change to the lifecycle and closes connections accordingly.
     pub fn update_lifecycle<R>(&mut self, now: Micros, change: impl FnOnce(&mut Lifecycle) -> R) -> R {
         let result = change(&mut self.lifecycle);
         self.close_idle_clients(now);
         result
     }
 
-    /// Told to stop: everything has its final answer, and the process has ended, before it is killed.
+    /// Begins the graceful shutdown: every call gets its final answer, and the process ends, before the
+    /// supervisor kills it.
     pub fn stop(&mut self, now: Micros, replaced: bool) {
         let longest = self.site.deadlines.iter().copied().max().unwrap_or_default();
         self.update_lifecycle(now, |lifecycle| lifecycle.stop(now, replaced, longest));
@@ -367,9 +373,9 @@
             .extend(self.lifecycle.final_answer_deadline().map(|at| Reverse((at, TimerEvent::FinalAnswers))));
     }
 
-    /// While clients are sent away, has the connections let go of on which nothing waits: neither a set-up
-    /// for its answer nor a release for its confirmation. Once no set-ups are taken any more, a client that
-    /// never falls quiet is paused first: what crosses its end comes again elsewhere.
+    /// While clients are drained, closes the connections on which neither a set-up waits for its answer nor a
+    /// release for its acknowledgement. Once no set-ups are accepted any more, a client that keeps sending is
+    /// paused first, so that set-ups that cross the close are sent again to another call agent.
     fn close_idle_clients(&mut self, now: Micros) {
         let Some(from) = self.lifecycle.drains_from() else { return };
         if now >= from {
@@ -391,11 +397,12 @@
         }
     }
 
-    /// Clients that are not let go of now.
+    /// Clients whose connections stay open for now.
     fn clients_to_keep(&self, now: Micros) -> BTreeSet<ClientId> {
         let mut kept = self.deliveries.unacknowledged(now, DRAIN_ACK_GRACE);
-        // Releases of what stands need a connection that takes them: the one that made most of the calls
-        // stays for them; in the end only for its own, or it would be held idle.
+        // Releases of established calls need a connection to be delivered on. The one that made most of the
+        // calls is kept for all of them, and at the end only for its own, since it would be held idle
+        // otherwise.
         let total = self.established.len() + self.deliveries.len();
         let last =
             self.clients.last_to_drain().filter(|(_, own)| self.lifecycle.keeps_connection(now, *own, total));
@@ -403,7 +410,7 @@
         kept
     }
 
-    /// A client is paused, and all that was read from it, so many inputs, has been handed on.
+    /// A client is paused, and all of the input read from it, this number of inputs, was handed on.
     pub fn client_paused(&mut self, now: Micros, client: ClientId, inputs: u64) {
         let may_close = !self.lifecycle.accepts_set_ups(now)
             && self.clients.open(client) == 0
@@ -414,24 +421,24 @@
         });
     }
 
-    /// Connections of callers.
+    /// Number of callers' connections.
     pub fn connections(&self) -> usize {
         self.clients.connections()
     }
 
-    /// The servers in the list, and those of them that the decisions avoid.
+    /// Number of listed servers, and of those among them that the decisions avoid.
     pub fn targets(&self, now: Micros) -> (usize, usize) {
         self.route.targets(now)
     }
 
-    /// Ends a client's connection for the sake of the others.
+    /// Closes a client's connection to free capacity for other clients.
     fn evict(&mut self, client: ClientId) {
         self.accounting.counts.evicted_clients += 1;
         self.clients.closed(client);
         self.effects.push(Effect::Close { client });
     }
 
-    /// Changes of the list of servers from one place, or the whole of it.
+    /// Applies changes of the server list of one source, or a full list.
     pub fn update_servers(&mut self, now: Micros, source: ListSource, kind: ListKind, entries: &[Entry]) {
         let (changes, ended) = self.route.merge(source, kind, entries);
         self.decide(now, Event::List { kind: ListKind::Changes, entries: &changes });
@@ -441,7 +448,8 @@
         self.accounting.keep_servers(|server| self.route.is_shown(server));
     }
 
-    /// Has no new set-ups sent to these servers, as if they were told to drain; all others are free again.
+    /// Holds these servers administratively: they get no new set-ups, as if they drained. Servers held before
+    /// and not named here are released.
     pub fn set_held_servers(&mut self, now: Micros, servers: &[ServerId]) {
         let changes = self.route.set_held(servers);
         if !changes.is_empty() {
@@ -449,22 +457,22 @@
         }
     }
 
-    /// The servers that are held.
+    /// The servers that are held administratively.
     pub fn held_servers(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.route.held()
     }
 
-    /// Whether a server takes set-ups, as far as is told.
+    /// Whether a server accepts set-ups according to the server list.
     pub fn is_ready(&self, server: ServerId) -> bool {
         self.route.is_ready(server)
     }
 
-    /// Whether failures keep set-ups from a server for now.
+    /// Whether recent failures keep set-ups away from a server.
     pub fn avoids(&self, now: Micros, server: ServerId) -> bool {
         self.route.avoids(now, server)
     }
 
-    /// Whether a call stands at a server or a set-up is out there.
+    /// Whether a server has an established call or an attempt in flight.
     pub fn is_busy(&self, server: ServerId) -> bool {
         let has_attempt =
             |pending: &PendingCall| pending.in_flight.is_some_and(|attempt| attempt.server == server);
@@ -479,7 +487,8 @@
         self.decide(now, Event::Probed { server, ok, lag, report });
     }
 
-    /// Hands an event to the decisions and carries out what follows, and what follows from that.
+    /// Passes an event to the decisions and carries out the actions that follow, including those that the
+    /// actions cause in turn.
     fn decide(&mut self, now: Micros, event: Event) {
         self.route.decide(now, event, &mut self.actions);
         while let Some(action) = self.actions.pop_front() {
@@ -499,7 +508,7 @@
                 }
                 Action::Probe { server } => self.effects.push(Effect::Probe { server }),
                 Action::Log(text) => self.effects.push(Effect::Log(text)),
-                // The list comes by itself on sockets, and call agents cannot reach each other.
+                // The server list arrives unasked over sockets, and call agents cannot reach each other.
                 Action::Watch | Action::Tell { .. } => {}
             }
         }
--- a/core/src/lifecycle.rs
+++ b/core/src/lifecycle.rs
@@ -1,46 +1,49 @@
-//! Whether this call agent takes work, and when callers' connections are let go of.
+//! Lifecycle of this call agent: whether it accepts set-ups, and when it closes callers' connections.
 //!
-//! | state | tests and `status` | new set-ups | callers' connections |
+//! | state | health checks and `status` | new set-ups | callers' connections |
 //! | --- | --- | --- | --- |
-//! | starting | `status` says no | served | stay |
-//! | serving | yes | served | stay |
-//! | standby | no | served, refused in the end | let go of as each falls quiet |
-//! | stopping | `status` says no | served, refused in the end | stay, then closed once nothing is open on
-//! each | | the same, replaced | `status` says no | served, refused in the end | let go of as each falls
-//! quiet |
+//! | starting | `status` fails | accepted | kept |
+//! | serving | both pass | accepted | kept |
+//! | standby | both fail | accepted, later refused | closed when idle |
+//! | stopping | `status` fails | accepted, later refused | kept, later closed when idle |
+//! | stopping, replaced | `status` fails | accepted, later refused | closed when idle |
 //!
-//! A process that stops is killed at a time that follows from the settings. It has answered everything and
-//! ended by itself before that, whatever its peers do.
+//! A connection is idle when no set-up on it waits for its answer.
+//!
+//! The supervisor kills a stopping process at a time that follows from the settings. Before that, the process
+//! has answered every call and ended by itself, whatever its peers do.
 
 use steprelay_decisions::Micros;
 
-/// The front of the callers asks ten times a second and opens connections until 0.2 s after a no; so much
-/// later nobody whose connection ends comes back here.
+/// How long after the standby command draining begins. The callers' platform checks the health ten times a
+/// second and opens connections until 0.2 s after a failed check; after 0.4 s a client whose connection is
+/// closed does not reconnect here.
 const STANDBY_DRAIN_DELAY: Micros = 400_000;
-/// In standby no set-up is taken after this: what is left by then never falls quiet by itself, and 4 s after
-/// the command no connection may carry a set-up of the last 2 s.
+/// How long set-ups are accepted in standby. Connections that are busy by then never become idle by
+/// themselves, and 4 s after the command no connection may carry a set-up of the last 2 s.
 const STANDBY_ACCEPT_PERIOD: Micros = 1_900_000;
-/// The last connection stays for calls of others until this: 4 s after the command none may be idle, and what
-/// ends in between has 1 s to be told, for which clients are back in time.
+/// How long the last connection is kept in standby for the releases of other connections' calls. 4 s after
+/// the command no connection may be idle; a call that ends in between has 1 s for its release, and clients
+/// reconnect elsewhere in that time.
 const STANDBY_RELEASE_PERIOD: Micros = 3_850_000;
-/// One that was replaced takes set-ups for so long: a caller that is refused is served by the other.
+/// How long a replaced process accepts set-ups; a caller that is refused is served by the new process.
 const REPLACED_ACCEPT_PERIOD: Micros = 600_000;
-/// One that stops without a successor serves as ever for so long: set-ups come on new connections for 0.4 s,
-/// on those for 0.2 s more, and some time to arrive.
+/// How long a stopping process without a replacement accepts set-ups as usual: new connections are opened for
+/// 0.4 s, carry set-ups for 0.2 s more, and the set-ups need some time to arrive.
 const STOPPING_SERVE_PERIOD: Micros = 700_000;
-/// What comes until then is taken where it is answered before the kill, since it may have been read late.
+/// Until then set-ups are accepted if they are answered before the kill, since they may have been read late.
 const STOPPING_ACCEPT_PERIOD: Micros = 900_000;
-/// Where the kill is near, no set-up is taken for so long before it: callers' connections are closed in that
-/// time.
+/// No set-ups are accepted for this time before the kill; callers' connections are closed in it.
 const REJECT_BEFORE_KILL: Micros = 350_000;
-/// Connections are accepted for so long after the last set-ups that are served as ever may come.
+/// How long a stopping process accepts connections: until after the last set-up that is accepted as usual.
 const STOPPING_CONNECT_PERIOD: Micros = 800_000;
-/// One that another has replaced takes no connections any more; what it had accepted is known by now.
+/// How long a replaced process lives at least. It accepts no new connections, and all that it had accepted
+/// are known by then.
 const REPLACED_MIN_LIFETIME: Micros = 200_000;
-/// The kill may come this long after the longest deadline, which counts as so much at most.
+/// The kill may come this long after the longest deadline, of which at most `MAX_COUNTED_DEADLINE` counts.
 const KILL_GRACE: Micros = 700_000;
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// Every call has its final answer so long before the kill, and the process has ended so long before it.
+/// How long before the kill every call has its final answer, and how long before it the process has ended.
 const FINAL_ANSWER_MARGIN: Micros = 250_000;
 const EXIT_MARGIN: Micros = 120_000;
 
@@ -52,7 +55,7 @@
     Stopping,
 }
 
-/// What a process that has been told to stop can't go back from.
+/// Returned when a lifecycle change is requested of a stopping process, which cannot return to another state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("stopping")]
 pub struct AlreadyStopping;
@@ -60,13 +63,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Stopping {
     since: Micros,
-    /// Another process serves in its place.
+    /// Another process accepts connections in its place.
     replaced: bool,
     kill_at: Micros,
 }
 
 impl Stopping {
-    /// Until when set-ups are taken, where that is so long after SIGTERM if the kill allows it.
+    /// The end of a period after SIGTERM in which set-ups are accepted, cut short if the kill comes early.
     fn accepts_until(&self, period: Micros) -> Micros {
         (self.since + period).min(self.kill_at - REJECT_BEFORE_KILL)
     }
@@ -76,7 +79,7 @@
     }
 }
 
-/// How long after SIGTERM the kill may come; `longest_deadline`: 0 for none.
+/// How long after SIGTERM the kill may come; `longest_deadline` is 0 if there is none.
 fn kill_after(longest_deadline: Micros) -> Micros {
     let deadline =
         if longest_deadline > 0 { longest_deadline.min(MAX_COUNTED_DEADLINE) } else { MAX_COUNTED_DEADLINE };
@@ -91,7 +94,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lifecycle {
     ready: bool,
-    /// Since when clients are sent away.
+    /// When standby began, and with it the draining of clients.
     standby_since: Option<Micros>,
     stopping: Option<Stopping>,
 }
@@ -106,12 +109,12 @@
         }
     }
 
-    /// All that is needed to serve is there.
+    /// Records that everything needed to serve is available.
     pub fn set_ready(&mut self) {
         self.ready = true;
     }
 
-    /// Sends clients away; said again, it changes nothing.
+    /// Enters standby, which drains the clients; has no effect if already in standby.
     pub fn enter_standby(&mut self, now: Micros) -> Result<(), AlreadyStopping> {
         if self.stopping.is_some() {
             return Err(AlreadyStopping);
@@ -120,7 +123,7 @@
         Ok(())
     }
 
-    /// Back to work, at any moment of the sending away.
+    /// Leaves standby, at any moment of the draining.
     pub fn resume_serving(&mut self) -> Result<(), AlreadyStopping> {
         if self.stopping.is_some() {
             return Err(AlreadyStopping);
@@ -129,23 +132,25 @@
         Ok(())
     }
 
-    /// `replaced`: new connections go to another process from now on. Said again, it changes nothing.
+    /// Begins to stop. `replaced`: another process accepts new connections from now on. Has no effect if
+    /// already stopping.
     pub fn stop(&mut self, now: Micros, replaced: bool, longest_deadline: Micros) {
         let kill_at = now + kill_after(longest_deadline);
         self.stopping.get_or_insert(Stopping { since: now, replaced, kill_at });
     }
 
-    /// When all calls that are open then get their final answers, since the process is killed soon after.
+    /// When all open calls get their final answers because the kill is near.
     pub fn final_answer_deadline(&self) -> Option<Micros> {
         self.stopping.map(|stopping| stopping.kill_at - FINAL_ANSWER_MARGIN)
     }
 
-    /// When the process has to have ended.
+    /// When the process must have ended.
     pub fn exit_deadline(&self) -> Option<Micros> {
         self.stopping.map(|stopping| stopping.kill_at - EXIT_MARGIN)
     }
 
-    /// Whether nothing that would be served is still to come: the process may end once nothing is open.
+    /// Whether no set-up that would be accepted can still arrive, so that the process may end once no call is
+    /// open.
     pub fn may_exit(&self, now: Micros) -> bool {
         self.stopping.is_some_and(|stopping| match stopping.replaced {
             true => now >= stopping.since + REPLACED_MIN_LIFETIME,
@@ -153,38 +158,38 @@
         })
     }
 
-    /// Whether a caller that tests this call agent is told that it is well. A process that stops is no matter
-    /// of callers: the platform sends them elsewhere, or another process serves the same address.
+    /// Whether a caller's health check passes. It passes in a stopping process too: the platform sends
+    /// callers elsewhere, or another process serves the same address.
     pub fn passes_health_check(&self) -> bool {
         self.standby_since.is_none()
     }
 
-    /// Since when another process has served in our place.
+    /// Since when another process has served in place of this one.
     fn replaced_since(&self) -> Option<Micros> {
         self.stopping.filter(|stopping| stopping.replaced).map(|stopping| stopping.since)
     }
 
-    /// How it has been stopping without one.
+    /// The state of stopping, if no other process replaces this one.
     fn stopping_unreplaced(&self) -> Option<Stopping> {
         self.stopping.filter(|stopping| !stopping.replaced)
     }
 
-    /// From when on callers' connections are let go of.
+    /// From when on callers' connections are closed as they become idle.
     pub fn drains_from(&self) -> Option<Micros> {
         let standby = self.standby_since.map(|at| at + STANDBY_DRAIN_DELAY);
         let stopping = self.stopping_unreplaced().map(|stopping| stopping.accept_deadline());
         [self.replaced_since(), standby, stopping].into_iter().flatten().min()
     }
 
-    /// Whether a connection stays for the releases of what stands: `own` calls that were made on it, of `all`
-    /// that there are. A process that serves in our place gets them instead, or the one that is started after
-    /// this.
+    /// Whether a connection is kept for the releases of established calls: `own` calls were made on it, of
+    /// `total`. A stopping process keeps none, since the process that replaces it, or the next one, delivers
+    /// the releases.
     pub fn keeps_connection(&self, now: Micros, own: usize, total: usize) -> bool {
         let is_kept_for_others = self.standby_since.is_some_and(|at| now < at + STANDBY_RELEASE_PERIOD);
         self.stopping.is_none() && (own > 0 || total > 0 && is_kept_for_others)
     }
 
-    /// Whether a set-up is taken whose answer is waited for until then.
+    /// Whether a set-up is accepted whose final answer is due at `answer_deadline`.
     pub fn accepts_set_up(&self, now: Micros, answer_deadline: Micros) -> bool {
         let is_past_serve_period = self
             .stopping_unreplaced()
@@ -193,7 +198,7 @@
         self.accepts_set_ups(now) && (!is_past_serve_period || is_answered_in_time)
     }
 
-    /// Whether any set-up is taken.
+    /// Whether any set-up is accepted.
     pub fn accepts_set_ups(&self, now: Micros) -> bool {
         self.standby_since.is_none_or(|at| now < at + STANDBY_ACCEPT_PERIOD)
             && self.stopping.is_none_or(|stopping| now < stopping.accept_deadline())
@@ -216,10 +221,10 @@
     }
 
     #[test]
-    fn every_command_in_every_state() {
+    fn every_command_in_every_state_has_its_effect() {
         use Command::*;
-        // What was done, a second apart; then the state, whether tests pass, from when connections are let
-        // go of and whether set-ups are taken another 2 s later.
+        // Commands, given one second apart; then the state, whether health checks pass, when draining begins,
+        // and whether set-ups are accepted 2 s later.
         type Row<'a> = (&'a [Command], State, bool, Option<Micros>, bool);
         let table: [Row; 13] = [
             (&[], State::Starting, true, None, true),
@@ -263,10 +268,10 @@
         }
     }
 
-    /// What follows from the settings: the longest deadline counts as 3 s at most. All is answered and ended
-    /// before the kill, and nothing is taken shortly before it.
+    /// The longest deadline counts as 3 s at most. All calls are answered and the process has ended before
+    /// the kill, and no set-up is accepted shortly before it.
     #[test]
-    fn ends_before_the_kill_that_follows_from_the_longest_deadline() {
+    fn ends_before_the_kill_time_derived_from_the_longest_deadline() {
         let table = [
             (false, 0, 3_700 * MS, 900 * MS),
             (false, 200 * MS, 900 * MS, 550 * MS),
@@ -287,8 +292,8 @@
             lifecycle.stop(0, replaced, longest);
             lifecycle.stop(500 * MS, !replaced, 0);
             let (answer_deadline, exit_deadline) = (
-                lifecycle.final_answer_deadline().expect("it stops"),
-                lifecycle.exit_deadline().expect("it stops"),
+                lifecycle.final_answer_deadline().expect("the process is stopping"),
+                lifecycle.exit_deadline().expect("the process is stopping"),
             );
             assert!(
                 answer_deadline < exit_deadline
@@ -310,7 +315,7 @@
                     && !lifecycle.accepts_set_up(served_until, exit_deadline)
             );
             let accepted = lifecycle.accepts_set_up(served_until, answer_deadline);
-            assert_eq!(accepted, served_until < accepted_until, "it is answered in time");
+            assert_eq!(accepted, served_until < accepted_until, "its answer is due before the final answers");
         }
     }
 }
--- a/core/src/relay.rs
+++ b/core/src/relay.rs
@@ -1,7 +1,8 @@
-//! Fifth stage: answers, refusals and releases on their way back, and what stands.
+//! Fifth stage: relays answers, refusals and releases, and holds the established calls.
 //!
-//! A call that stands belongs to no connection. Its end may come from anywhere, also for a call that stood
-//! before this process started; [`super::delivery`] sees to it that a caller hears of it.
+//! An established call does not depend on a connection. Its release may arrive on any connection, also for a
+//! call that was established before this process started; [`super::delivery`] makes sure that a caller is
+//! told.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,14 +16,14 @@
 
 #[derive(Clone, Copy, Debug)]
 pub struct EstablishedCall {
-    /// Who made it; nobody who is here, where another call agent had it.
+    /// The client that made the call; `None` if the call was taken over from another call agent.
     client: Option<ClientId>,
     attempt: Attempt,
     since: Micros,
 }
 
 impl EstablishedCall {
-    /// One that stood at another call agent, since a time that is not known.
+    /// A call taken over from another call agent. When it was established is not known.
     pub fn taken_over(attempt: Attempt) -> Self {
         EstablishedCall { client: None, attempt, since: 0 }
     }
@@ -46,12 +47,12 @@
         self.calls.len()
     }
 
-    /// The client whose call stands.
+    /// The client that made an established call.
     pub fn client_of(&self, call: CallId) -> Option<ClientId> {
         self.calls.get(&call)?.client
     }
 
-    /// What is promised of calls that stand.
+    /// The states of all established calls.
     pub fn states(&self) -> impl Iterator<Item = (CallId, CallState)> + '_ {
         self.calls
             .iter()
@@ -76,7 +77,7 @@
 }
 
 impl Core {
-    /// A client's connection, or a peer of the M3UA front, is there.
+    /// A client's connection was opened, or a peer of the M3UA front became available.
     pub fn client_opened(&mut self, now: Micros, client: ClientId, peer: Option<Peer>) {
         if let Some(evicted) = self.clients.opened(client, peer, now) {
             self.evict(evicted);
@@ -84,7 +85,7 @@
         self.deliver_pending(now);
     }
 
-    /// A client's connection is gone: no answer can reach what waits on it, but what stands goes on.
+    /// A client's connection was closed: its unanswered calls end, its established calls stay up.
     pub fn client_closed(&mut self, now: Micros, client: ClientId) {
         self.clients.closed(client);
         let waiting = self.pending.iter().filter(|(_, pending)| pending.client == client);
@@ -94,8 +95,8 @@
         self.redeliver_from(now, client);
     }
 
-    /// A client can be told nothing for now, or can again. Nothing is sent for its set-ups meanwhile: what is
-    /// out at a server may still be answered, and what has not left is taken back.
+    /// Marks whether a client can be sent messages. While it cannot, no attempts are sent for its calls: an
+    /// attempt in flight may still be answered, and a queued set-up is withdrawn.
     pub fn set_client_unreachable(&mut self, client: ClientId, unreachable: bool) {
         self.clients.set_unreachable(client, unreachable);
         if unreachable {
@@ -105,12 +106,12 @@
         }
     }
 
-    /// A client asks whether this call agent is well.
+    /// A client checks the health of this call agent.
     pub fn client_health_checked(&mut self, now: Micros, client: ClientId) {
         self.clients.input_received(client, now);
     }
 
-    /// A client gives a set-up up or releases a call that stands.
+    /// A client gives up a set-up or releases an established call.
     pub fn client_ended(&mut self, now: Micros, client: ClientId, call: CallId, cause: ReleaseCause) {
         self.clients.input_received(client, now);
         if self.pending.contains_key(&call) {
@@ -122,8 +123,8 @@
             return self.end_established(now, call, established, Outcome::Cancelled, Report::default());
         }
         if self.accounting.ended(call).is_none() {
-            // It stood before this process started. Which server has it is not known here: the one that does
-            // releases it, and the others know no such call.
+            // The call was established before this process started, so its server is not known here. All
+            // servers get the release: the one that has the call releases it, the others know no such call.
             let servers: Vec<_> = self.route.entries().map(|entry| entry.server).collect();
             for server in servers {
                 self.effects.push(Effect::Release { server, call, cause });
@@ -133,15 +134,16 @@
         }
     }
 
-    /// A server has answered.
+    /// A server answered a set-up.
     pub fn server_answered(&mut self, now: Micros, server: ServerId, call: CallId, description: Rc<str>) {
         let in_flight = self.pending.get(&call).and_then(|pending| pending.in_flight);
         let Some(attempt) = in_flight.filter(|attempt| attempt.server == server) else {
             let is_repeated =
                 self.established.get(call).is_some_and(|established| established.attempt.server == server);
             if !is_repeated {
-                // Given up before the answer arrived, or never asked for: nobody is at the other end of it.
-                // What the server says to the release is not news of a call from before this process started.
+                // The attempt was given up before its answer arrived, or was never made: no caller waits for
+                // the answer. The server's reply to this release must not be taken for the release of a call
+                // that was established before this process started.
                 if !self.pending.contains_key(&call) && self.accounting.ended(call).is_none() {
                     self.accounting.record_end(call, CallEnd::Answered);
                 }
@@ -160,7 +162,7 @@
         self.decide(now, Event::First { call, server, attempt: attempt.number, lag });
     }
 
-    /// A server has refused a set-up or released a call.
+    /// A server refused a set-up or released a call.
     pub fn server_ended(
         &mut self,
         now: Micros,
@@ -172,7 +174,7 @@
     ) {
         let in_flight = self.pending.get(&call).and_then(|pending| pending.in_flight);
         if let Some(attempt) = in_flight.filter(|attempt| attempt.server == server) {
-            let end = attempt.ended(now, call, cause.outcome_before_answer());
+            let end = attempt.end(now, call, cause.outcome_before_answer());
             let proven =
                 self.pending.get(&call).is_some_and(|pending| self.clients.is_proven(pending.client));
             let note = match end.outcome {
@@ -193,7 +195,7 @@
             && self.established.get(call).is_none()
             && (self.accounting.ended(call).is_none() || self.is_left_to_other_member(call))
         {
-            // It stood before this process started; its caller still waits for the release.
+            // The call was established before this process started; its caller still waits for the release.
             let prior_claim = if self.is_left_to_other_member(call) {
                 PriorClaim::OtherMember
             } else {
@@ -213,7 +215,8 @@
         }
     }
 
-    /// Gives the release of a call that stood here, or asks first where another member may have given it.
+    /// Delivers the release of an established call, or asks the other members first if one of them may have
+    /// delivered it.
     fn release_established(
         &mut self,
         now: Micros,
@@ -223,7 +226,7 @@
         cause: ReleaseCause,
     ) {
         let client = established.client;
-        // Calls that are bound to circuits are no other member's.
+        // A circuit-bound call belongs to no other member.
         if self.is_ownership_uncertain(established.since) && CircuitCall::of(call).is_none() {
             let prior_claim = PriorClaim::Unclaimed;
             return self.hold_for_claims(now, call, UnclaimedRelease { client, server, cause, prior_claim });
@@ -234,21 +237,22 @@
         self.start_delivery(now, client, server, call, cause);
     }
 
-    /// A server has released a call on a connection that was let go of meanwhile. It was told already that
-    /// this was heard, and does not say it again: what stands there is over all the same. A set-up that was
-    /// out on that connection counts as reset, so that the word can't be about a later attempt.
+    /// A server's release arrived on a connection that was closed meanwhile. It was already acknowledged to
+    /// the server, which does not repeat it, so the established call ends all the same. A pending call is
+    /// left alone: its attempt on that connection counts as reset, and the release cannot be about a later
+    /// attempt.
     pub fn server_ended_late(&mut self, now: Micros, server: ServerId, call: CallId, cause: ReleaseCause) {
         if !self.pending.contains_key(&call) {
             self.server_ended(now, server, call, cause, Cause::Untold, Report::default());
         }
     }
 
-    /// Whether any call stands at a server.
+    /// Whether any established call is at a server.
     pub fn has_established_call_at(&self, server: ServerId) -> bool {
         self.established.calls.values().any(|established| established.attempt.server == server)
     }
 
-    /// A server's process is over, and with it what came to stand there before this time.
+    /// A server's process has ended, and with it the calls established there before this time.
     pub(super) fn server_process_ended(&mut self, now: Micros, server: ServerId, before: Micros) {
         let cut = self
             .established
@@ -264,8 +268,8 @@
         self.defer_server_end(server, before);
     }
 
-    /// A server has been out of reach for longer than what stood there can be left without a release; returns
-    /// how many calls ended with that.
+    /// A server has been unreachable for longer than its established calls can stay up without a release.
+    /// Ends them and returns how many.
     pub fn server_unreachable(&mut self, now: Micros, server: ServerId) -> usize {
         let at_server = |(_, established): &(&CallId, &EstablishedCall)| established.attempt.server == server;
         let calls: Vec<CallId> =
@@ -273,7 +277,7 @@
         self.server_process_ended(now, server, Micros::MAX);
         let ended: Vec<CallId> =
             calls.into_iter().filter(|call| self.established.get(*call).is_none()).collect();
-        // One that was only cut off still has them when it is back.
+        // A server that was only cut off from the network still has them when it is reachable again.
         let release = |&call: &CallId| Effect::Release { server, call, cause: ReleaseCause::TEMPORARY };
         self.effects.extend(ended.iter().map(release));
         let ended = ended.len();
@@ -291,13 +295,13 @@
         report: Report,
     ) {
         self.accounting.call_released(call, established.attempt.server, outcome);
-        let end = End { last: true, report, ..established.attempt.ended(now, call, outcome) };
+        let end = End { last: true, report, ..established.attempt.end(now, call, outcome) };
         self.report_end(now, established, end);
     }
 
-    /// A call is another's from now on.
+    /// Removes a call that now belongs to another member.
     pub(super) fn hand_off_established(&mut self, now: Micros, call: CallId, established: EstablishedCall) {
-        let end = End { last: true, ..established.attempt.ended(now, call, Outcome::Ok) };
+        let end = End { last: true, ..established.attempt.end(now, call, Outcome::Ok) };
         self.report_end(now, established, end);
     }
 
@@ -306,7 +310,7 @@
         self.decide(now, Event::Ended(end));
     }
 
-    /// Gives a call its final answer.
+    /// Sends a call its final answer.
     pub(super) fn send_final_answer(&mut self, now: Micros, call: CallId, verdict: Verdict) {
         let Some(pending) = self.remove_pending(call) else { return };
         if now > pending.answer_deadline + super::validate::ANSWER_MARGIN {
--- a/core/src/round_trip.rs
+++ b/core/src/round_trip.rs
@@ -1,8 +1,8 @@
-//! How long acknowledgements take, as RFC 6298 has it (2.2, 2.3).
+//! Estimates how long acknowledgements take, after RFC 6298 (2.2, 2.3).
 
 use steprelay_decisions::Micros;
 
-/// The smoothed round trip and its mean deviation, once anything was measured.
+/// The smoothed round-trip time and its mean deviation; `None` before the first measurement.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundTrips(Option<(Micros, Micros)>);
 
@@ -17,7 +17,7 @@
         });
     }
 
-    /// What an acknowledgement rarely takes longer than; 0 where nothing is known.
+    /// A time that acknowledgements rarely exceed; 0 before the first measurement.
     pub fn timeout(self) -> Micros {
         self.0.map_or(0, |(mean, deviation)| mean + 4 * deviation)
     }
--- a/core/src/route.rs
+++ b/core/src/route.rs
@@ -1,4 +1,4 @@
-//! Third stage: the decision module, and the one list of servers it is told from several places.
+//! Third stage: passes events to the decision module, and merges the server lists of all sources into one.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,15 +7,15 @@
 
 use super::ListSource;
 
-/// Servers that are gone are shown until there are so many. Guards a process that runs for months at a site
-/// that replaces its servers all the time.
+/// Servers that are gone are shown until there are this many. Limits the memory of a process that runs for
+/// months at a site that replaces its servers all the time.
 const MAX_GONE_SERVERS: usize = 16;
 
 pub struct Route {
     controller: Controller,
-    /// As they count: one that is held drains, whatever its place in the list says.
+    /// The servers in their effective states: a held one is draining, whatever the list says.
     entries: BTreeMap<ServerId, (ListSource, Entry)>,
-    /// Servers that are held, with what the list says of them (if it names them).
+    /// The held servers, each with its state in the list, if it is listed.
     held: BTreeMap<ServerId, Option<Readiness>>,
     scratch: Vec<Action>,
 }
@@ -43,7 +43,7 @@
         self.entries.contains_key(&server)
     }
 
-    /// Whether it is in the list, ready or not.
+    /// Whether a server is in the list, ready or not.
     pub fn is_listed(&self, server: ServerId) -> bool {
         self.entries.get(&server).is_some_and(|(_, entry)| entry.state != Readiness::Gone)
     }
@@ -52,7 +52,7 @@
         self.entries.get(&server).is_some_and(|(_, entry)| entry.state == Readiness::Ready)
     }
 
-    /// The servers in the list, drained ones too, and those of them that the decisions avoid.
+    /// Number of listed servers, including draining ones, and of those among them that the decisions avoid.
     pub fn targets(&self, now: Micros) -> (usize, usize) {
         let listed = self.entries().filter(|entry| entry.state != Readiness::Gone);
         listed.fold((0, 0), |(listed, avoided), entry| {
@@ -68,7 +68,7 @@
         self.controller.bound(now, server)
     }
 
-    /// Holds these servers and no others; returns the entries that changed by it.
+    /// Holds exactly these servers; returns the entries whose effective state changed.
     pub fn set_held(&mut self, servers: &[ServerId]) -> Vec<Entry> {
         let mut changes = Vec::new();
         let released: Vec<ServerId> =
@@ -102,8 +102,8 @@
         self.held.keys().copied()
     }
 
-    /// Takes in a list; returns the entries that the decisions are told, and the servers whose process is
-    /// over, with the time before which calls came to stand in it.
+    /// Merges a list. Returns the entries to pass to the decisions, and the servers whose process has ended,
+    /// each with the time before which the calls were established that ended with it.
     pub fn merge(
         &mut self,
         source: ListSource,
@@ -116,7 +116,8 @@
         }
         let mut changes = entries.to_vec();
         if matches!(kind, ListKind::All | ListKind::Remembered) {
-            // A whole list names all there are in its place: the others are gone, and told as such.
+            // A full list names all servers of its source: the ones it leaves out are gone, and are reported
+            // as gone.
             let missing = self.entries.values().filter(|(listed_by, entry)| {
                 *listed_by == source
                     && entry.state != Readiness::Gone
@@ -144,7 +145,7 @@
     }
 }
 
-/// How a server that is held counts, by what the list says of it.
+/// The effective state of a held server with this state in the list.
 fn drained(listed: Readiness) -> Readiness {
     match listed {
         Readiness::Ready => Readiness::Draining,
--- a/core/src/send.rs
+++ b/core/src/send.rs
@@ -1,5 +1,5 @@
-//! Fourth stage: attempts. One is out at a time, each with an end of its own; the rules that an attempt must
-//! keep are checked here once more before it leaves.
+//! Fourth stage: attempts. A call has at most one attempt in flight, with a time limit of its own. The rules
+//! for attempts are checked once more before the set-up is sent.
 
 use std::cmp::Reverse;
 use std::rc::Rc;
@@ -10,20 +10,22 @@
 use super::validate::{answer_deadline, ValidationError};
 use super::{Breach, CallState, ClientId, Core, Effect, LinkLoss, Request, SetUp, TimerEvent, Verdict};
 
-/// Who is sent away comes back after this, since others serve it: its connection is quiet and closed by then.
+/// Retry-After of refusals while this call agent drains: the caller reconnects to another call agent
+/// meanwhile, and its connection here becomes idle and is closed.
 const DRAIN_RETRY_AFTER: Micros = 100_000;
 
-/// A process that looks at its connections so late was held up.
+/// If the connections were last polled longer ago than this, the process was suspended or starved.
 const LATE_POLL_THRESHOLD: Micros = 100_000;
 
-/// Why a set-up did not leave for its server.
+/// Why a set-up was not sent to its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSent {
-    /// There is no connection to the server, and none is being dialled.
+    /// There is no connection to the server and none is being opened.
     Unreachable,
-    /// The send queue of its connection takes no more.
+    /// The send queue of the server's connection is full.
     QueueFull,
-    /// It was taken back before its first byte left, or its server takes none any more.
+    /// The set-up was taken back before its first byte was sent, or its server does not accept set-ups any
+    /// more.
     Withdrawn,
 }
 
@@ -35,8 +37,8 @@
 }
 
 impl Attempt {
-    /// Its end as the decisions are told of it, with nothing said besides the outcome.
-    pub fn ended(self, now: Micros, call: CallId, outcome: Outcome) -> End {
+    /// Its end as an event for the decisions, with the outcome alone.
+    pub fn end(self, now: Micros, call: CallId, outcome: Outcome) -> End {
         End {
             call,
             server: self.server,
@@ -50,21 +52,22 @@
     }
 }
 
-/// A call that was taken in and has no final answer.
+/// A call that was accepted and has no final answer.
 pub struct PendingCall {
     pub client: ClientId,
     pub class: usize,
     pub number: Rc<str>,
     pub description: Rc<str>,
-    /// When its final answer has to leave.
+    /// When its final answer must be sent.
     pub answer_deadline: Micros,
     pub in_flight: Option<Attempt>,
     pub attempts: u32,
-    /// Nothing is sent for it before this, since what an earlier attempt held may still be taken.
+    /// No attempt is sent before this time, since the server of an earlier attempt may still hold capacity
+    /// for it.
     pub not_before: Micros,
 }
 
-/// When a set-up is taken to have come that is read now.
+/// The time of arrival that is assumed for a set-up that is read now.
 fn arrival_time(now: Micros, polled: Micros) -> Micros {
     if now - polled > LATE_POLL_THRESHOLD {
         polled
@@ -74,12 +77,12 @@
 }
 
 impl Core {
-    /// A client's set-up. One that crossed the end of its connection on our side is nobody's: its caller
-    /// sends it again on another, where it must not be too soon after a first attempt.
+    /// Handles a client's set-up. A set-up that arrives after this side closed its connection is ignored: its
+    /// caller sends it again on another connection, which must not come too soon after a first attempt.
     ///
-    /// `polled`: when the connections were last looked at. Where that is long ago, as after a process was
-    /// held up, the set-up may have come at any moment since, and counts as taken in time where it can have
-    /// been.
+    /// `polled`: when the connections were last polled. If that is long ago, for example after the process
+    /// was suspended, the set-up may have arrived at any moment since, and is accepted if it can have arrived
+    /// in time.
     pub fn offer(&mut self, now: Micros, polled: Micros, client: ClientId, request: Request) {
         if !self.clients.is_connected(client) {
             return;
@@ -122,7 +125,8 @@
         self.effects.push(Effect::FinalAnswer { client, call: request.call, verdict: rejection });
     }
 
-    /// A client's set-up of which its front can make no request. `class` is there where it names one.
+    /// Handles a client's set-up that could not be parsed into a request. `class` is set if the set-up names
+    /// a known one.
     pub fn offer_invalid(&mut self, client: ClientId, call: CallId, class: Option<usize>) {
         self.clients.invalid_input_received(client);
         self.accounting.counts.offered += 1;
@@ -130,9 +134,9 @@
         self.effects.push(Effect::FinalAnswer { client, call, verdict: Verdict::Invalid });
     }
 
-    /// A client makes a call of an id that is taken. On the connection that has the call, any answer to the
-    /// second would be taken for one to the first, so that only its end tells; the same where nothing else is
-    /// lost with it.
+    /// Rejects a set-up whose call id is in use. On the connection that has the call, any answer to the
+    /// duplicate would be taken for the answer to the first set-up, so the connection is closed instead. It
+    /// is also closed if no open call is lost with it.
     fn reject_duplicate(&mut self, client: ClientId, call: CallId) {
         let client_of_call = self.pending.get(&call).map(|pending| pending.client);
         if client_of_call.or(self.established.client_of(call)) == Some(client)
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Sends a set-up, unless that would break a rule: then it counts as never sent.
+    /// Sends a set-up, unless that would break a rule: then the attempt counts as never sent.
     pub(super) fn send(&mut self, now: Micros, call: CallId, server: ServerId, stop_at: Micros) {
         let limits = &self.site.decisions.limits;
         let max_attempts = limits.attempts.max(1);
@@ -169,11 +173,11 @@
         if self.clients.is_unreachable(pending.client) {
             self.send_final_answer(now, call, Verdict::Failed);
             self.decide(now, Event::Gone { call });
-            return self.decide(now, Event::Ended(attempt.ended(now, call, Outcome::Moot)));
+            return self.decide(now, Event::Ended(attempt.end(now, call, Outcome::Moot)));
         }
         if let Some(breach) = breach {
             self.accounting.record_breach(breach);
-            self.decide(now, Event::Ended(attempt.ended(now, call, Outcome::Moot)));
+            self.decide(now, Event::Ended(attempt.end(now, call, Outcome::Moot)));
             return;
         }
         let stop_at = stop_at.min(pending.answer_deadline);
@@ -199,15 +203,15 @@
         self.abort_attempt(now, call, number, Outcome::Cancelled);
     }
 
-    /// Gives up an attempt that is still out. The server is told, so that what it answers later is void.
+    /// Ends an attempt that is in flight and cancels it at the server, so that a later answer is void.
     fn abort_attempt(&mut self, now: Micros, call: CallId, number: u32, outcome: Outcome) {
         let Some(pending) = self.pending.get_mut(&call) else { return };
         let Some(attempt) = pending.in_flight.filter(|attempt| attempt.number == number) else { return };
         self.effects.push(Effect::CancelAttempt { server: attempt.server, call });
-        self.end_attempt(now, attempt.ended(now, call, outcome));
+        self.end_attempt(now, attempt.end(now, call, outcome));
     }
 
-    /// Books the end of an attempt of a call that does not stand.
+    /// Records the end of an attempt of a call that is not established.
     pub(super) fn end_attempt(&mut self, now: Micros, end: End) {
         self.accounting.attempt_unanswered(end.server, end.outcome);
         if let Some(pending) = self.pending.get_mut(&end.call) {
@@ -220,8 +224,8 @@
         self.decide(now, Event::Ended(end));
     }
 
-    /// The time for a final answer has come. The decisions have given it by now; this guards against a call
-    /// that they hold past it.
+    /// Handles the deadline of the final answer. The decisions have normally answered by now; this covers a
+    /// call that they hold past its deadline.
     pub(super) fn deadline_passed(&mut self, now: Micros, call: CallId) {
         let Some(pending) = self.pending.get(&call) else { return };
         if let Some(attempt) = pending.in_flight {
@@ -234,7 +238,7 @@
         }
     }
 
-    /// Gives every call that is open its final answer now: a refusal where nothing was sent for it.
+    /// Gives every open call its final answer now: a refusal if no attempt was sent, else a failure.
     pub fn answer_all(&mut self, now: Micros) {
         for call in self.pending.keys().copied().collect::<Vec<_>>() {
             let Some(pending) = self.pending.get(&call) else { continue };
@@ -251,13 +255,15 @@
         }
     }
 
-    /// The client has given a call up before its answer, or can no longer be answered: nothing is owed.
+    /// Removes a call that its client has given up before the answer, or whose client can no longer be
+    /// answered. No final answer is sent.
     pub(super) fn abandon(&mut self, now: Micros, call: CallId, end: CallEnd) {
         let Some(pending) = self.pending.get(&call) else { return };
         let in_flight = pending.in_flight;
         self.accounting.counts.abandoned += 1;
         self.decide(now, Event::Gone { call });
-        // Where the settings permit no cancel, the decisions do not ask for one; the attempt still ends here.
+        // If the settings do not permit cancels, the decisions request none; the attempt is ended here all
+        // the same.
         if let Some(attempt) = in_flight {
             self.cancel(now, call, attempt.number);
         }
@@ -265,7 +271,7 @@
         self.accounting.record_end(call, end);
     }
 
-    /// Takes a pending call out, with the room that it held.
+    /// Removes a pending call and frees its share of the admission limits.
     pub(super) fn remove_pending(&mut self, call: CallId) -> Option<PendingCall> {
         let pending = self.pending.remove(&call)?;
         self.admission.remove(&pending.number, &pending.description);
@@ -273,38 +279,38 @@
         Some(pending)
     }
 
-    /// A connection to a server has gone, or could not be had. What was out there is over.
+    /// Handles a lost or failed connection to a server: all attempts in flight there have ended.
     pub fn link_lost(&mut self, now: Micros, server: ServerId, loss: LinkLoss) {
         let outcome = match loss {
             LinkLoss::Refused | LinkLoss::Unanswered => Outcome::ConnectFailed,
             LinkLoss::Dropped | LinkLoss::Unreadable => Outcome::Reset,
         };
         for (call, attempt) in self.in_flight_at(server) {
-            self.end_attempt(now, attempt.ended(now, call, outcome));
+            self.end_attempt(now, attempt.end(now, call, outcome));
         }
         if loss == LinkLoss::Refused {
             self.server_process_ended(now, server, Micros::MAX);
         }
     }
 
-    /// A set-up went with its connection, and may have run.
+    /// Handles a set-up that was lost with its connection and may have been executed.
     pub fn attempt_lost(&mut self, now: Micros, server: ServerId, call: CallId) {
         let in_flight = self.pending.get(&call).and_then(|pending| pending.in_flight);
         if let Some(attempt) = in_flight.filter(|attempt| attempt.server == server) {
-            self.end_attempt(now, attempt.ended(now, call, Outcome::Reset));
+            self.end_attempt(now, attempt.end(now, call, Outcome::Reset));
         }
     }
 
-    /// One set-up could not be put on its way to a server.
+    /// Handles a set-up that could not be sent to its server.
     pub fn not_sent(&mut self, now: Micros, server: ServerId, call: CallId, reason: NotSent) {
         let outcome = match reason {
             NotSent::Unreachable => Outcome::ConnectFailed,
-            // No failure of the server: held against it, it would keep everybody's set-ups from it.
+            // Not a failure of the server: counting it as one would keep all set-ups away from the server.
             NotSent::QueueFull | NotSent::Withdrawn => Outcome::Moot,
         };
         let in_flight = self.pending.get(&call).and_then(|pending| pending.in_flight);
         if let Some(attempt) = in_flight.filter(|attempt| attempt.server == server) {
-            self.end_attempt(now, attempt.ended(now, call, outcome));
+            self.end_attempt(now, attempt.end(now, call, outcome));
         }
     }
 
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -1,4 +1,4 @@
-//! The core with a clock that the test moves: what it does about each thing that happens.
+//! Tests of the core with a simulated clock.
 
 use steprelay_decisions::{Cause, Class, Limits, Readiness, Settings};
 
@@ -72,7 +72,8 @@
         self.core.take_effects()
     }
 
-    /// Lets time pass, waking the core whenever it asked for that; returns what it did about calls, and when.
+    /// Advances the clock and runs the timers; returns the effects except `Close` and `Log`, with their
+    /// times.
     fn pass(&mut self, time: Micros) -> Vec<(Micros, Effect)> {
         let mut done = self.pass_all(time);
         done.retain(|(_, effect)| !matches!(effect, Effect::Close { .. }));
@@ -92,7 +93,7 @@
         done
     }
 
-    /// Lets time pass; returns the connections that were let go of, with their inputs.
+    /// Advances the clock; returns the connections to close if idle, with their input counts.
     fn closed_when_idle(&mut self, time: Micros) -> Vec<(ClientId, u64)> {
         let of = |(_, effect)| match effect {
             Effect::CloseIfIdle { client, inputs } => Some((client, inputs)),
@@ -101,7 +102,7 @@
         self.pass_all(time).into_iter().filter_map(of).collect()
     }
 
-    /// What the core wants done. Connections take a release at once, and have nothing unread.
+    /// Takes the effects. Connections send a release at once and hold no unread input.
     fn effects(&mut self) -> Vec<Effect> {
         let mut done = Vec::new();
         loop {
@@ -161,21 +162,21 @@
 }
 
 #[test]
-fn a_call_stands_and_is_released_once() {
+fn an_established_call_is_released_once() {
     let mut test = TestCore::new();
     assert_eq!(set_up_at(&test.offer(9, 3_000 * MS)), Some(ONE));
     let answer = Effect::Answer { client: CALLER, call: CallId(9), description: "v=1".into() };
     assert_eq!(test.answer(ONE, 9), [answer]);
     assert_eq!((test.core.unanswered_calls(), test.core.established_calls()), (0, 1));
     assert_eq!(test.end(ONE, 9, ReleaseCause::NORMAL), released(9, ReleaseCause::NORMAL));
-    assert_eq!(test.end(ONE, 9, ReleaseCause::NORMAL), [], "the release came again on another connection");
+    assert_eq!(test.end(ONE, 9, ReleaseCause::NORMAL), [], "the release is repeated on another connection");
     let close = Effect::Close { client: CALLER };
-    assert_eq!(test.offer(9, 3_000 * MS), [close], "a second answer would lose the first");
+    assert_eq!(test.offer(9, 3_000 * MS), [close], "any answer would be taken for one to the first call");
     assert_eq!(test.breaches(), 0);
 }
 
 #[test]
-fn silence_is_given_up_and_answered_before_the_caller_goes() {
+fn an_attempt_without_answer_fails_the_call_before_its_caller_gives_up() {
     let mut test = TestCore::new();
     let start = test.now;
     test.offer(9, 1_000 * MS);
@@ -188,12 +189,12 @@
     ];
     assert_eq!(done, expected);
     let late = Effect::Release { server: ONE, call, cause: ReleaseCause::NORMAL };
-    assert_eq!(test.answer(ONE, 9), [late], "nobody is left to take a late answer");
+    assert_eq!(test.answer(ONE, 9), [late], "no caller waits for a late answer");
     assert_eq!(test.breaches(), 0);
 }
 
 #[test]
-fn after_a_reset_the_call_waits_for_the_release_and_goes_elsewhere() {
+fn after_a_reset_the_call_is_sent_to_another_server_once_the_first_has_released_it() {
     let mut test = TestCore::new();
     test.offer(9, 3_000 * MS);
     let reset = test.now;
@@ -204,21 +205,21 @@
 }
 
 #[test]
-fn a_refused_dial_proves_that_nothing_ran() {
+fn a_refused_connection_ends_the_established_calls_and_retries_the_attempt_at_once() {
     let mut test = TestCore::new();
     test.offer(8, 3_000 * MS);
     test.answer(ONE, 8);
     test.offer(9, 3_000 * MS);
     let done = test.lost(ONE, LinkLoss::Refused);
-    assert_eq!(set_up_at(&done), Some(TWO), "at once");
+    assert_eq!(set_up_at(&done), Some(TWO), "the call is sent to the other server at once");
     assert!(
         done.contains(&released(8, ReleaseCause::TEMPORARY)[0]),
-        "what stood there went with the process"
+        "the call established there ended with the process"
     );
 }
 
 #[test]
-fn a_caller_that_gives_up_is_owed_nothing() {
+fn a_call_given_up_by_its_caller_gets_no_answer() {
     let mut test = TestCore::new();
     test.offer(9, 3_000 * MS);
     test.core.client_ended(test.now, CALLER, CallId(9), ReleaseCause::NORMAL);
@@ -229,28 +230,36 @@
 }
 
 #[test]
-fn a_lost_caller_ends_what_waits_and_not_what_stands() {
+fn a_closed_client_ends_unanswered_calls_but_not_established_ones() {
     let mut test = TestCore::new();
     test.offer(8, 3_000 * MS);
     test.answer(ONE, 8);
     test.offer(9, 3_000 * MS);
     test.core.client_closed(test.now, CALLER);
     assert_eq!(test.core.take_effects(), [Effect::CancelAttempt { server: ONE, call: CallId(9) }]);
-    assert_eq!(test.end(ONE, 8, ReleaseCause::NORMAL), [], "nobody is there to take it");
+    assert_eq!(test.end(ONE, 8, ReleaseCause::NORMAL), [], "no connection can take the release");
     let other = ClientId(2);
     test.core.client_opened(test.now, other, None);
     let relayed = Effect::DeliverRelease { client: other, call: CallId(8), cause: ReleaseCause::NORMAL };
     assert_eq!(test.pass(1_000 * MS).into_iter().map(|(_, effect)| effect).collect::<Vec<_>>(), [relayed]);
-    // A set-up that crossed the close comes again on another connection.
+    // A set-up that crossed the close is repeated on another connection.
     assert_eq!(set_up_at(&test.offer_from(other, 9, 3_000 * MS)), Some(ONE));
 }
 
 #[test]
-fn a_release_of_an_unknown_call_is_relayed_either_way() {
+fn a_release_of_an_unknown_call_is_relayed_in_both_directions() {
     let mut test = TestCore::new();
-    assert_eq!(test.end(TWO, 5, ReleaseCause::NORMAL), [], "the one connection may be there for tests alone");
+    assert_eq!(
+        test.end(TWO, 5, ReleaseCause::NORMAL),
+        [],
+        "the only connection may be there for health checks only"
+    );
     let relayed: Vec<_> = test.pass(500 * MS).into_iter().map(|(_, effect)| effect).collect();
-    assert_eq!(relayed, released(5, ReleaseCause::NORMAL), "but it is all there is");
+    assert_eq!(
+        relayed,
+        released(5, ReleaseCause::NORMAL),
+        "after a retry interval the only connection is used all the same"
+    );
     assert_eq!(test.end(TWO, 5, ReleaseCause::NORMAL), []);
     test.core.client_ended(test.now, CALLER, CallId(6), ReleaseCause::NORMAL);
     let release = |server| Effect::Release { server, call: CallId(6), cause: ReleaseCause::NORMAL };
@@ -258,7 +267,7 @@
 }
 
 #[test]
-fn a_release_is_passed_on_until_it_is_confirmed_and_then_forgotten() {
+fn a_release_is_redelivered_until_it_is_acknowledged() {
     let mut test = TestCore::new();
     let [second, third] = [ClientId(2), ClientId(3)];
     let to = |client| Effect::DeliverRelease { client, call: CallId(8), cause: ReleaseCause::NORMAL };
@@ -267,16 +276,20 @@
     test.core.client_opened(test.now, second, None);
     test.now += MS;
     test.core.client_opened(test.now, third, None);
-    assert_eq!(test.end(ONE, 8, ReleaseCause::NORMAL), [to(CALLER)], "who called comes first");
+    assert_eq!(
+        test.end(ONE, 8, ReleaseCause::NORMAL),
+        [to(CALLER)],
+        "the connection that made the call comes first"
+    );
     test.core.client_closed(test.now, CALLER);
-    assert_eq!(test.core.take_effects(), [], "the others may be there for tests alone");
+    assert_eq!(test.core.take_effects(), [], "the other connections may be there for health checks only");
     let delivered_at = test.now;
     assert_eq!(test.pass(200 * MS), [(delivered_at + 150 * MS, to(third))]);
     test.core.release_acknowledged(test.now, second, CallId(8));
     assert_eq!(
         test.pass(150 * MS),
         [(delivered_at + 300 * MS, to(second))],
-        "not confirmed by who was not told"
+        "an acknowledgement from a connection that was not sent the release does not count"
     );
     test.core.release_acknowledged(test.now, third, CallId(8));
     assert_eq!(test.pass(9_000 * MS), []);
@@ -284,9 +297,9 @@
 }
 
 #[test]
-fn a_server_that_is_out_of_reach_is_told_of_the_calls_that_were_released() {
+fn an_unreachable_server_is_sent_the_releases_of_its_calls() {
     let mut test = TestCore::new();
-    let server = set_up_at(&test.offer(8, 3_000 * MS)).expect("it is sent");
+    let server = set_up_at(&test.offer(8, 3_000 * MS)).expect("the call is sent");
     test.answer(server, 8);
     let other = if server == ONE { TWO } else { ONE };
     assert_eq!(test.core.server_unreachable(test.now, other), 0);
@@ -301,7 +314,7 @@
 }
 
 #[test]
-fn connections_that_only_hold_a_place_are_let_go() {
+fn idle_connections_are_closed() {
     let mut test = TestCore::new();
     let close = |client| Effect::Close { client: ClientId(client) };
     let open = |test: &mut TestCore, client, peer| {
@@ -315,7 +328,8 @@
     test.core.client_health_checked(test.now, ClientId(2));
     assert_eq!(open(&mut test, 3, 7), []);
     assert_eq!(open(&mut test, 4, 7), []);
-    // The fourth of one peer, and the fifth in all: those go that have said nothing, the oldest first.
+    // These are the fourth of one peer and the fifth in total: connections without input are closed, the
+    // oldest first.
     assert_eq!(open(&mut test, 5, 7), [close(3)]);
     assert_eq!(open(&mut test, 6, 8), [close(4)]);
     let start = test.now;
@@ -323,14 +337,18 @@
     let (silent, tested): (Vec<_>, Vec<_>) = closed.iter().partition(|(at, _)| *at < start + 3_000 * MS);
     assert_eq!(silent.into_iter().map(|(_, effect)| effect).collect::<Vec<_>>(), [&close(5), &close(6)]);
     let tested: Vec<_> = tested.into_iter().map(|(_, effect)| effect).collect();
-    assert_eq!(tested, [&close(2)], "it made a test and stayed; the caller's call stands");
+    assert_eq!(
+        tested,
+        [&close(2)],
+        "a health check keeps its connection longer; the caller has an established call"
+    );
     test.end(ONE, 8, ReleaseCause::NORMAL);
     let closed: Vec<_> = test.pass_all(500 * MS).into_iter().map(|(_, effect)| effect).collect();
     assert_eq!(closed, [close(1)]);
 }
 
 #[test]
-fn clients_that_are_sent_away_go_quiet_first_and_the_last_stays_for_releases() {
+fn drained_clients_are_closed_when_idle_and_the_last_one_is_kept_for_releases() {
     let mut test = TestCore::new();
     let other = ClientId(2);
     test.core.client_opened(test.now, other, None);
@@ -338,34 +356,38 @@
     test.answer(ONE, 8);
     test.offer(9, 3_000 * MS);
     let now = test.now;
-    test.core.update_lifecycle(now, |lifecycle| lifecycle.enter_standby(now)).expect("it does not stop");
-    assert_eq!(test.closed_when_idle(390 * MS), [], "the front still opens connections");
-    assert!(set_up_at(&test.offer(10, 3_000 * MS)).is_some(), "who comes meanwhile is served");
-    assert_eq!(test.closed_when_idle(20 * MS), [(other, 0)], "the quiet one");
+    test.core
+        .update_lifecycle(now, |lifecycle| lifecycle.enter_standby(now))
+        .expect("the process is not stopping");
+    assert_eq!(test.closed_when_idle(390 * MS), [], "the platform still opens connections");
+    assert!(set_up_at(&test.offer(10, 3_000 * MS)).is_some(), "set-ups that arrive meanwhile are accepted");
+    assert_eq!(test.closed_when_idle(20 * MS), [(other, 0)], "the connection without open calls");
     test.core.client_closed(test.now, other);
     test.answer(ONE, 9);
     test.answer(ONE, 10);
-    assert_eq!(test.closed_when_idle(1_500 * MS), [], "releases may come, and need a connection");
+    assert_eq!(test.closed_when_idle(1_500 * MS), [], "releases may follow and need a connection");
     assert_eq!(
         test.offer(11, 3_000 * MS),
         [refused_while_draining(11)],
-        "else the last would never fall quiet"
+        "otherwise the last connection would never become idle"
     );
     for call in [8, 9, 10] {
         assert_eq!(test.end(ONE, call, ReleaseCause::NORMAL), released(call, ReleaseCause::NORMAL));
     }
-    assert_eq!(test.closed_when_idle(100 * MS), [], "the confirmations are on their way");
+    assert_eq!(test.closed_when_idle(100 * MS), [], "the acknowledgements are on their way");
     for call in [8, 9, 10] {
         test.core.release_acknowledged(test.now, CALLER, CallId(call));
     }
     assert_eq!(test.closed_when_idle(20 * MS), [(CALLER, 7)]);
-    test.core.update_lifecycle(test.now, |lifecycle| lifecycle.resume_serving()).expect("it does not stop");
-    assert_eq!(test.closed_when_idle(1_000 * MS), [], "nobody is sent away any more");
+    test.core
+        .update_lifecycle(test.now, |lifecycle| lifecycle.resume_serving())
+        .expect("the process is not stopping");
+    assert_eq!(test.closed_when_idle(1_000 * MS), [], "clients are not drained any more");
     assert!(set_up_at(&test.offer(12, 3_000 * MS)).is_some());
 }
 
 #[test]
-fn the_last_connection_is_not_held_idle_for_calls_of_others() {
+fn the_last_connection_is_closed_in_time_if_only_calls_of_others_are_established() {
     let mut test = TestCore::new();
     let (other, now) = (ClientId(2), test.now);
     test.core.client_opened(now, other, None);
@@ -376,24 +398,33 @@
     test.core.client_closed(now, CALLER);
     test.end(ONE, 9, ReleaseCause::NORMAL);
     test.core.release_acknowledged(now, other, CallId(9));
-    test.core.update_lifecycle(now, |lifecycle| lifecycle.enter_standby(now)).expect("it does not stop");
-    assert_eq!(test.closed_when_idle(3_800 * MS), [], "the release of 8 may come");
-    assert!(test.closed_when_idle(100 * MS).contains(&(other, 2)), "none is idle 4 s after the command");
+    test.core
+        .update_lifecycle(now, |lifecycle| lifecycle.enter_standby(now))
+        .expect("the process is not stopping");
+    assert_eq!(test.closed_when_idle(3_800 * MS), [], "the release of call 8 may follow");
+    assert!(
+        test.closed_when_idle(100 * MS).contains(&(other, 2)),
+        "no connection is idle 4 s after the command"
+    );
 }
 
 #[test]
-fn one_that_was_replaced_takes_nothing_that_its_kill_could_find() {
+fn a_replaced_process_refuses_set_ups_that_its_kill_could_interrupt() {
     let mut test = TestCore::new();
     let now = test.now;
     test.core.stop(now, true);
-    assert!(set_up_at(&test.offer(9, 3_000 * MS)).is_some(), "its connection is not closed yet");
+    assert!(set_up_at(&test.offer(9, 3_000 * MS)).is_some(), "the connection is not closed yet");
     test.pass(700 * MS);
     assert_eq!(test.offer(10, 3_000 * MS), [refused_while_draining(10)]);
     test.answer(ONE, 9);
-    assert_eq!(test.closed_when_idle(20 * MS), [(CALLER, 2)], "the other process passes the release of 9 on");
+    assert_eq!(
+        test.closed_when_idle(20 * MS),
+        [(CALLER, 2)],
+        "the other process delivers the release of call 9"
+    );
 }
 
-/// A generator of its own, so that the lives below come again in the same order.
+/// A random number generator of its own, so that the runs below repeat in the same order.
 fn random(state: &mut u64) -> u64 {
     *state ^= *state << 13;
     *state ^= *state >> 7;
@@ -402,11 +433,11 @@
 }
 
 #[test]
-fn every_call_taken_is_counted_once_by_its_outcome() {
+fn every_accepted_call_is_counted_once_by_its_outcome() {
     let mut seed = 20_261_201;
     for run in 0..200 {
         let mut test = TestCore::new();
-        // What the caller saw, and nothing else, says what the counts must be.
+        // The expected counts follow only from what the caller receives.
         let (mut open, mut offered) = (Vec::new(), 0u64);
         let (mut stood, mut refused, mut failed, mut left) = (0u64, 0u64, 0u64, 0u64);
         for step in 0..60 {
@@ -452,17 +483,17 @@
 }
 
 #[test]
-fn servers_that_are_avoided_are_told() {
+fn avoided_servers_are_counted() {
     let mut test = TestCore::new();
     assert_eq!(test.core.targets(test.now), (2, 0));
     test.list(&[(TWO, Readiness::Draining)]);
-    assert_eq!(test.core.targets(test.now), (2, 1), "it is in the list, and gets nothing");
+    assert_eq!(test.core.targets(test.now), (2, 1), "the server is listed and gets no set-ups");
     test.list(&[(TWO, Readiness::Gone)]);
     assert_eq!(test.core.targets(test.now), (1, 0));
 }
 
 #[test]
-fn a_second_call_of_an_open_id_is_nobodys_answer() {
+fn a_duplicate_call_id_is_rejected_without_an_answer_to_the_first_call() {
     let mut test = TestCore::new();
     let other = ClientId(2);
     test.core.client_opened(test.now, other, None);
@@ -486,18 +517,18 @@
         test.core.take_effects()
     };
     assert!(set_up_at(&again(&mut test, other, 9)).is_some());
-    // A connection with a call of its own is answered, one that repeats its own is closed.
+    // A connection with another call is answered; one that repeats its own call is closed.
     let verdict = Verdict::Invalid;
     assert_eq!(again(&mut test, other, 8), [Effect::FinalAnswer { client: other, call: CallId(8), verdict }]);
     assert_eq!(again(&mut test, other, 9), [Effect::Close { client: other }]);
-    assert_eq!(test.answer(ONE, 8).len(), 1, "the first one stands");
+    assert_eq!(test.answer(ONE, 8).len(), 1, "the first call is established");
 }
 
 #[test]
-fn an_error_to_a_caller_of_whom_nothing_has_stood_speaks_against_no_server() {
+fn errors_to_a_client_without_any_established_call_count_against_no_server() {
     let mut test = TestCore::new();
     for call in 1..=6 {
-        let at = set_up_at(&test.offer(call, 3_000 * MS)).expect("nobody is shunned");
+        let at = set_up_at(&test.offer(call, 3_000 * MS)).expect("no server is avoided");
         let mut more = test.end(at, call, ReleaseCause::UNSPECIFIED);
         while let Some(at) = set_up_at(&more) {
             more = test.end(at, call, ReleaseCause::UNSPECIFIED);
@@ -505,7 +536,7 @@
     }
     test.offer(7, 3_000 * MS);
     test.answer(ONE, 7);
-    // From a caller who is known to make sense, errors in a row do.
+    // Errors in a row count if they are for a client that has had an established call.
     for call in 8..=10 {
         test.now += MS;
         test.offer(call, 3_000 * MS);
@@ -516,52 +547,52 @@
 }
 
 #[test]
-fn what_ends_with_one_connection_is_one_failure() {
+fn attempts_that_end_with_one_connection_count_as_one_failure() {
     let mut test = TestCore::new();
     test.list(&[(TWO, Readiness::Gone)]);
     for call in 1..=2 {
         assert_eq!(set_up_at(&test.offer(call, 3_000 * MS)), Some(ONE));
     }
     test.lost(ONE, LinkLoss::Dropped);
-    assert_eq!(set_up_at(&test.offer(4, 3_000 * MS)), Some(ONE), "it is still there");
+    assert_eq!(set_up_at(&test.offer(4, 3_000 * MS)), Some(ONE), "the server is not avoided");
 }
 
 #[test]
-fn a_release_after_a_restart_finds_the_circuit_that_the_id_names() {
+fn a_release_after_a_restart_reaches_the_circuit_named_by_the_call_id() {
     let bound = CircuitCall { client: 3, circuit: 0xabc, incarnation: 0x3ff };
     let call = bound.id(u64::MAX);
     assert_eq!((CircuitCall::of(call), CircuitCall::of(CallId(7))), (Some(bound), None));
     let mut test = TestCore::new();
-    assert_eq!(test.end(ONE, call.0, ReleaseCause::NORMAL), [], "its client is not back yet");
+    assert_eq!(test.end(ONE, call.0, ReleaseCause::NORMAL), [], "the client is not connected yet");
     test.core.client_opened(test.now, bound.client_id(), None);
     let relayed = Effect::DeliverRelease { client: bound.client_id(), call, cause: ReleaseCause::NORMAL };
     assert_eq!(test.core.take_effects(), [relayed]);
 }
 
 #[test]
-fn a_server_that_is_gone_takes_its_calls_with_it() {
+fn a_server_that_is_gone_ends_its_calls() {
     let mut test = TestCore::new();
     test.offer(8, 3_000 * MS);
     test.answer(ONE, 8);
-    assert_eq!(test.list(&[(ONE, Readiness::Draining)]), [], "a drain cuts nothing by itself");
+    assert_eq!(test.list(&[(ONE, Readiness::Draining)]), [], "draining ends no call");
     assert_eq!(set_up_at(&test.offer(9, 3_000 * MS)), Some(TWO));
     let cut = released(8, ReleaseCause::TEMPORARY);
     assert_eq!(test.list(&[(ONE, Readiness::Gone)]), cut);
 }
 
 #[test]
-fn servers_that_are_gone_are_forgotten_when_they_are_many() {
+fn servers_that_are_gone_are_removed_when_there_are_many() {
     let mut test = TestCore::new();
     for id in 10..5_000 {
         test.list(&[(ServerId(id), Readiness::Ready)]);
         test.list(&[(ServerId(id), Readiness::Gone)]);
     }
     assert!(test.core.servers(test.now).count() <= 20);
-    assert_eq!(set_up_at(&test.offer(1, 3_000 * MS)), Some(ONE), "the others are still there");
+    assert_eq!(set_up_at(&test.offer(1, 3_000 * MS)), Some(ONE), "the other servers are still listed");
 }
 
 #[test]
-fn a_flood_is_refused_and_room_comes_back() {
+fn set_ups_over_the_limit_are_refused_until_calls_are_answered() {
     let mut test = TestCore::new();
     for call in 1..=3 {
         assert!(set_up_at(&test.offer(call, 3_000 * MS)).is_some());
@@ -574,7 +605,7 @@
 }
 
 #[test]
-fn a_call_that_nobody_may_take_is_refused_at_once_with_a_wait() {
+fn a_call_without_an_available_server_is_refused_at_once_with_a_wait() {
     let mut test = TestCore::new();
     test.list(&[(ONE, Readiness::Draining), (TWO, Readiness::Gone)]);
     let verdict = Verdict::Refused { wait: Some(500 * MS) };
@@ -583,13 +614,13 @@
 }
 
 #[test]
-fn a_server_that_is_held_gets_nothing_new_whatever_the_list_says() {
+fn a_held_server_gets_no_set_ups_whatever_its_state_in_the_list() {
     let mut test = TestCore::new();
     assert_eq!(set_up_at(&test.offer(1, 30_000 * MS)), Some(ONE));
     test.core.set_held_servers(test.now, &[ONE]);
-    assert!(test.core.is_busy(ONE), "an attempt is out there");
+    assert!(test.core.is_busy(ONE), "an attempt is in flight there");
     assert_eq!(set_up_at(&test.offer(2, 3_000 * MS)), Some(TWO));
-    // The list repeats that it is ready, and that it drains; neither frees it.
+    // The list repeats that the server is ready, and that it drains; neither releases it.
     for state in [Readiness::Ready, Readiness::Draining, Readiness::Ready] {
         test.list(&[(ONE, state)]);
         test.pass(1_000 * MS);
@@ -597,21 +628,25 @@
         assert_ne!(set_up_at(&test.offer(3 + state as u64, 300 * MS)), Some(ONE), "{state:?}");
     }
     test.answer(ONE, 1);
-    assert!(test.core.is_busy(ONE), "a call stands there");
+    assert!(test.core.is_busy(ONE), "a call is established there");
     test.end(ONE, 1, ReleaseCause::NORMAL);
     assert!(!test.core.is_busy(ONE));
     test.pass(3_000 * MS);
     test.core.set_held_servers(test.now, &[]);
-    assert_eq!(set_up_at(&test.offer(9, 3_000 * MS)), Some(ONE), "as the list said last");
+    assert_eq!(set_up_at(&test.offer(9, 3_000 * MS)), Some(ONE), "the server has its last listed state");
     test.core.set_held_servers(test.now, &[ONE]);
     test.list(&[(ONE, Readiness::Gone)]);
     test.core.set_held_servers(test.now, &[]);
     assert_eq!(test.core.held_servers().count(), 0);
-    assert_eq!(set_up_at(&test.offer(10, 3_000 * MS)), Some(TWO), "one that is gone does not come back");
+    assert_eq!(
+        set_up_at(&test.offer(10, 3_000 * MS)),
+        Some(TWO),
+        "a server that is gone gets no set-ups after the hold"
+    );
     assert_eq!(test.breaches(), 0);
 }
 
-/// What was told of promises.
+/// The published call states.
 fn published_states(effects: &[Effect]) -> Vec<Option<CallState>> {
     let of = |effect: &Effect| match effect {
         Effect::CallStateChanged { state, .. } => Some(*state),
@@ -629,7 +664,7 @@
 const CALL: CallId = CallId(5);
 
 #[test]
-fn each_promise_is_told_ahead_of_what_follows_from_it() {
+fn each_state_change_is_published_before_the_message_that_it_implies() {
     let mut test = with_replication();
     let sent = test.offer(5, 1_000 * MS);
     assert_eq!(published_states(&sent), [Some(CallState::AttemptPending(ONE))]);
@@ -647,14 +682,14 @@
     test.core.release_acknowledged(test.now, CALLER, CALL);
     assert_eq!(published_states(&test.core.take_effects()), [None]);
     assert_eq!(test.core.call_states().count(), 0);
-    assert!(published_states(&TestCore::new().offer(5, 1_000 * MS)).is_empty(), "unless it was asked for");
+    assert!(published_states(&TestCore::new().offer(5, 1_000 * MS)).is_empty(), "replication is not enabled");
 }
 
 #[test]
-fn a_successor_keeps_what_another_had_promised() {
+fn a_successor_takes_over_calls_in_every_state() {
     let take_over = |state, also: &[(ServerId, Readiness)]| {
         let mut test = with_replication();
-        // A caller that has called takes releases at once.
+        // A client that has made a call is sent releases at once.
         test.offer(9, 1_000 * MS);
         test.answer(ONE, 9);
         test.end(ONE, 9, ReleaseCause::NORMAL);
@@ -671,27 +706,27 @@
     let (_, effects) = take_over(CallState::ReleasePending(ONE, ReleaseCause::NORMAL), &[]);
     assert!(effects.ends_with(&released(5, ReleaseCause::NORMAL)), "{effects:?}");
     let (_, effects) = take_over(CallState::Established(ONE), &[(ONE, Readiness::Gone)]);
-    assert!(effects.ends_with(&released(5, ReleaseCause::TEMPORARY)), "its server went first: {effects:?}");
+    assert!(effects.ends_with(&released(5, ReleaseCause::TEMPORARY)), "the server is gone: {effects:?}");
     let (mut test, effects) = take_over(CallState::Established(ONE), &[]);
     assert!(effects.is_empty(), "{effects:?}");
     assert!(test.end(ONE, 5, ReleaseCause::NORMAL).contains(&released(5, ReleaseCause::NORMAL)[0]));
     let (mut test, _) = take_over(CallState::Established(ONE), &[]);
     assert!(test.lost(ONE, LinkLoss::Refused).contains(&released(5, ReleaseCause::TEMPORARY)[0]));
-    // Others have seen to it: nothing is said, now or when its server goes.
+    // Another member has handled the end: nothing is sent, now or when the server ends.
     let (mut test, _) = take_over(CallState::Established(ONE), &[]);
     test.core.ended_elsewhere(test.now, CALL);
     assert_eq!(published_states(&test.core.take_effects()), [None]);
     assert!(test.lost(ONE, LinkLoss::Refused).is_empty());
-    // The one that was taken for lost says what it did last.
+    // The former owner reports its last state.
     let (mut test, _) = take_over(CallState::Established(ONE), &[]);
     test.core.apply_handover(test.now, CALL, Some(CallState::ReleasePending(ONE, ReleaseCause::NORMAL)));
     assert!(test.core.take_effects().contains(&released(5, ReleaseCause::NORMAL)[0]));
     test.core.apply_handover(test.now, CALL, Some(CallState::ReleasePending(ONE, ReleaseCause::NORMAL)));
-    assert!(test.core.take_effects().is_empty(), "once");
+    assert!(test.core.take_effects().is_empty(), "the release is delivered once");
 }
 
 #[test]
-fn in_doubt_nothing_is_said_of_before_but_what_a_server_says() {
+fn while_ownership_is_uncertain_only_releases_sent_by_servers_are_relayed() {
     let mut test = with_replication();
     for call in [5, 6, 7] {
         test.offer(call, 1_000 * MS);
@@ -700,31 +735,38 @@
     test.end(ONE, 5, ReleaseCause::NORMAL);
     test.core.set_ownership_uncertain(test.now + 1, true);
     test.now += 1;
-    // Its first connection has not confirmed it; another one would be given it.
+    // The first connection has not acknowledged the release; another one would be sent it.
     test.core.client_opened(test.now, ClientId(2), None);
     test.offer_from(ClientId(2), 8, 1_000 * MS);
     let releases = |done: Vec<(Micros, Effect)>| {
         done.iter().filter(|(_, e)| matches!(e, Effect::DeliverRelease { .. })).count()
     };
-    assert_eq!(releases(test.pass(1_000 * MS)), 0, "a release of before");
+    assert_eq!(releases(test.pass(1_000 * MS)), 0, "a release from before");
     let ended = test.end(ONE, 6, ReleaseCause::NORMAL);
     let [announcement, delivery] =
         [&Effect::AnnounceRelease { call: CallId(6) }, &released(6, ReleaseCause::NORMAL)[0]];
     assert!(
         ended.contains(announcement) && !ended.contains(delivery),
-        "another may have given it: {ended:?}"
+        "another member may have delivered the release: {ended:?}"
     );
     test.core.deliver_unclaimed(test.now, CallId(6));
-    assert!(test.core.take_effects().contains(delivery), "nobody has, and it goes to its own caller");
+    assert!(
+        test.core.take_effects().contains(delivery),
+        "no member has, so the release goes to the connection that made the call"
+    );
     assert!(!test.lost(ONE, LinkLoss::Refused).contains(&released(7, ReleaseCause::TEMPORARY)[0]));
     test.core.set_ownership_uncertain(test.now, false);
-    assert!(test.core.take_effects().contains(&released(7, ReleaseCause::TEMPORARY)[0]), "all is as it was");
+    assert!(
+        test.core.take_effects().contains(&released(7, ReleaseCause::TEMPORARY)[0]),
+        "the deferred end of the server is handled"
+    );
     assert!(releases(test.pass(1_000 * MS)) > 0);
 }
 
-/// Guards against a release that waits for what nobody is asked: such a call is no other member's.
+/// Guards against a release that waits for the replies of members that are not asked: a circuit-bound call
+/// belongs to no other member.
 #[test]
-fn in_doubt_the_release_of_a_call_that_is_bound_to_a_circuit_is_given_at_once() {
+fn while_ownership_is_uncertain_the_release_of_a_circuit_call_is_delivered_at_once() {
     let mut test = with_replication();
     let bound = CircuitCall { client: 3, circuit: 7, incarnation: 1 };
     let (client, call) = (bound.client_id(), bound.id(1));
@@ -739,7 +781,7 @@
 }
 
 #[test]
-fn what_another_has_taken_over_is_given_up() {
+fn calls_taken_over_by_another_member_are_relinquished() {
     let mut test = with_replication();
     for call in [5, 6, 7] {
         test.offer(call, 3_000 * MS);
@@ -753,31 +795,37 @@
     assert!(published_states(&effects).is_empty());
     assert!(effects.contains(&Effect::CancelAttempt { server: ONE, call: CallId(7) }));
     let failed = Effect::FinalAnswer { client: CALLER, call: CallId(7), verdict: Verdict::Failed };
-    assert_eq!(effects.iter().filter(|effect| **effect == failed).count(), 1, "its one answer");
+    assert_eq!(
+        effects.iter().filter(|effect| **effect == failed).count(),
+        1,
+        "the call gets one final answer"
+    );
     assert_eq!(test.core.call_states().count(), 0);
     assert!(!test.pass(1_000 * MS).iter().any(|(_, effect)| matches!(effect, Effect::DeliverRelease { .. })));
-    // Its server says here that it is over: whoever has it now must hear of it, and then its caller does.
+    // The server releases the call here: the member that took it over must be told first, and then the
+    // caller.
     let ended = test.end(ONE, 6, ReleaseCause::NORMAL);
     assert!(ended.contains(&Effect::AnnounceRelease { call: CallId(6) }), "{ended:?}");
     assert!(
         !ended.contains(&released(6, ReleaseCause::NORMAL)[0]),
-        "whoever has it may have told its caller"
+        "the member that took the call over may have told the caller"
     );
     let passed: Vec<Effect> = test.pass(1_000 * MS).into_iter().map(|(_, effect)| effect).collect();
     assert!(passed.contains(&released(6, ReleaseCause::NORMAL)[0]), "{passed:?}");
     assert_eq!(test.breaches(), 0);
 }
 
-/// A release that a server says again to another member, since the connection that took it ended unconfirmed.
+/// Releases that a server repeats to another member, since the connection that took them ended before the
+/// acknowledgement.
 mod unclaimed;
 
 /// Releases that their callers have not acknowledged.
 mod delivery;
 
 #[test]
-fn a_set_up_that_crossed_our_close_of_its_connection_is_sent_on_only_where_it_comes_again() {
+fn a_set_up_that_crossed_the_close_of_its_connection_is_sent_only_when_repeated() {
     let mut test = TestCore::new();
-    // Places for four: the one that is missed least makes way for the next.
+    // The limit is four connections: the one with the lowest eviction rank is closed for the next.
     for client in 2..=4 {
         test.core.client_opened(test.now, ClientId(client), None);
     }
@@ -787,23 +835,26 @@
         _ => None,
     };
     test.core.client_opened(test.now, ClientId(5), None);
-    let gone = test.core.take_effects().iter().find_map(closed).expect("one made way");
+    let gone = test.core.take_effects().iter().find_map(closed).expect("one connection is closed");
     assert_eq!(test.offer_from(gone, 1, 9_000 * MS), []);
     test.core.client_closed(test.now, gone);
-    assert!(set_up_at(&test.offer_from(ClientId(5), 1, 9_000 * MS)).is_some(), "its caller sends it again");
+    assert!(
+        set_up_at(&test.offer_from(ClientId(5), 1, 9_000 * MS)).is_some(),
+        "the caller sends the set-up again"
+    );
     assert_eq!((test.breaches(), test.core.counts().offered), (0, 1));
 }
 
-/// An M3UA client that can be told nothing for now.
+/// An M3UA client that cannot be sent messages for now.
 #[test]
-fn a_client_that_is_away_gets_no_further_attempt_and_an_answer_at_once() {
+fn an_unreachable_client_gets_no_further_attempt_and_an_answer_at_once() {
     let mut test = TestCore::new();
     let bound = ClientId(ClientId::CIRCUIT_BOUND);
     test.core.client_opened(test.now, bound, None);
     assert_eq!(set_up_at(&test.offer_from(bound, 1, 9_000 * MS)), Some(ONE));
     test.core.set_client_unreachable(bound, true);
     assert_eq!(test.core.take_effects(), [Effect::WithdrawSetUp { server: ONE, call: CallId(1) }]);
-    // It had not left: nothing goes elsewhere.
+    // The set-up had not been sent: it is not sent to another server.
     test.core.not_sent(test.now, ONE, CallId(1), NotSent::Withdrawn);
     let failed = Effect::FinalAnswer { client: bound, call: CallId(1), verdict: Verdict::Failed };
     assert_eq!(test.core.take_effects(), [failed]);
@@ -812,10 +863,10 @@
     assert_eq!((test.breaches(), test.core.unanswered_calls()), (0, 1));
 }
 
-/// Only what cannot be reached has failed: a send queue that is full, and set-ups that were taken back, are
-/// no reason to keep the next ones from a server.
+/// Only an unreachable server has failed: a full send queue and withdrawn set-ups must not keep the next
+/// set-ups away from the server.
 #[test]
-fn a_server_is_avoided_for_what_it_failed_and_not_for_what_never_left() {
+fn a_server_is_avoided_for_failures_and_not_for_set_ups_that_were_never_sent() {
     for (reason, avoided) in
         [(NotSent::QueueFull, false), (NotSent::Withdrawn, false), (NotSent::Unreachable, true)]
     {
--- a/core/src/unclaimed.rs
+++ b/core/src/unclaimed.rs
@@ -1,13 +1,15 @@
-//! Releases that another member may have given, where promises are told to other members.
+//! Releases that another member may have delivered, where replication is enabled.
 //!
-//! A server says a release again on the next open connection, whoever's it is, when the connection that took
-//! it ends unconfirmed. The call may be another member's, who has given the release or is about to. So all
-//! members are told first that it will be given here: one that has the call drops it, and one that has told
-//! its caller already says so. Once all have answered, or their time is over, and none has said so, the
-//! release is given. Where two members were told of it, the one whose name comes first gives it.
+//! A server sends a release again on its next open connection, to any member, if the connection that took it
+//! ended before the acknowledgement. The call may belong to another member that has delivered the release or
+//! is about to. So the release is first announced to all members: a member that holds the call drops it, and
+//! a member that has told the caller replies so. Once all members have replied, or the timeout has passed,
+//! and none has claimed the release, it is delivered here. If two members announce the same release, the one
+//! with the lower name delivers it.
 //!
-//! So are the releases of calls that stand here, while it is not known whether another member has taken them
-//! over ([`Core::doubt`]): a successor may have given a release of its own, as that of a server that is gone.
+//! The same applies to the releases of calls established here while ownership is uncertain
+//! ([`Core::set_ownership_uncertain`]): a successor may have delivered a release of its own, such as one for
+//! a server that ended.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,24 +19,24 @@
 use super::accounting::CallEnd;
 use super::{CallState, ClientId, Core, Effect, ReleaseCause, TimerEvent};
 
-/// Members get this long to say that they have given a release, where not all answer sooner. It leaves a
-/// fifth of the second in which a caller is to have it.
+/// How long members may take to claim a release, if not all reply sooner. It leaves a fifth of the one second
+/// in which the caller must receive the release.
 const CLAIM_TIMEOUT: Micros = 800_000;
-/// A release that another member had said it will give is left to that one when nothing is heard of it for so
-/// long: where that member is lost, it is known by then.
+/// A release that another member has announced is left to that member if nothing is heard of it for this
+/// long: if that member were lost, it would be known by then.
 const PRIOR_CLAIM_TIMEOUT: Micros = 7_000_000;
 
-/// A release that is given unless a member claims it.
+/// A release that is delivered unless a member claims it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnclaimedRelease {
-    /// Who made the call, where that is known.
+    /// The client that made the call, if known.
     pub client: Option<ClientId>,
     pub server: ServerId,
     pub cause: ReleaseCause,
     pub prior_claim: PriorClaim,
 }
 
-/// Whether a member has said before that it will give a release.
+/// Whether a member has announced earlier that it delivers a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PriorClaim {
     Unclaimed,
@@ -67,7 +69,7 @@
 }
 
 impl Core {
-    /// Asks all members whether they have given a release, and holds it until its time for claims is over.
+    /// Announces a release to all members and holds it until the claim timeout.
     pub(super) fn hold_for_claims(&mut self, now: Micros, call: CallId, release: UnclaimedRelease) {
         let timeout = match release.prior_claim {
             PriorClaim::Unclaimed => CLAIM_TIMEOUT,
@@ -79,7 +81,7 @@
         self.timers.push(Reverse((now + timeout, TimerEvent::ClaimTimeout(call))));
     }
 
-    /// The time for claims is over.
+    /// Handles the claim timeout of a release.
     pub(super) fn claims_timed_out(&mut self, now: Micros, call: CallId) {
         match self.unclaimed.0.get(&call).map(|release| release.prior_claim) {
             Some(PriorClaim::Unclaimed) => self.deliver_unclaimed(now, call),
@@ -88,17 +90,18 @@
         }
     }
 
-    /// Nobody has claimed it: all members have answered, or their time is over.
+    /// Delivers a release that no member has claimed: all have replied, or the timeout has passed.
     pub fn deliver_unclaimed(&mut self, now: Micros, call: CallId) {
         if let Some(UnclaimedRelease { client, server, cause, .. }) = self.unclaimed.0.remove(&call) {
             self.start_delivery(now, client, server, call, cause);
         }
     }
 
-    /// Another member sees to the end of this call, or has. It is told so where its caller hears of it here.
+    /// Another member handles the end of this call, or has done so. It is told if the caller learns of the
+    /// end here.
     pub fn ended_elsewhere(&mut self, now: Micros, call: CallId) {
         if self.unclaimed.contains(call) {
-            // It was told of the same release, and yields.
+            // The other member announced the same release, and yields.
             return;
         }
         let is_answered_here = self.pending.contains_key(&call)
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Another member was told of the same release, and it is that one which gives it.
+    /// Leaves a release to another member that announced it, too.
     pub fn yield_release(&mut self, call: CallId) {
         if self.unclaimed.remove(call) {
             self.publish_state(call, None, None);
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Another member has told the caller of this call that it is over.
+    /// Another member has told the caller of this call that it has ended.
     pub fn delivered_elsewhere(&mut self, now: Micros, call: CallId) {
         self.yield_release(call);
         if !self.pending.contains_key(&call) {
--- a/core/src/validate.rs
+++ b/core/src/validate.rs
@@ -1,26 +1,26 @@
-//! First stage: a set-up as read becomes a call of the decisions, or is turned back as invalid.
+//! First stage: turns a parsed set-up into a call for the decisions, or rejects it.
 
 use steprelay_decisions::{Call, CallId, Class, Micros};
 
 use super::accounting::CallEnd;
 use super::{Core, Request};
 
-/// The answer is given so long before the caller gives up: it has to cross to the caller, and a timer of
-/// ours may fire late on a shared core.
+/// How long before the caller gives up the final answer is sent: it has to reach the caller, and a timer of
+/// this process may fire late on a shared CPU core.
 pub const ANSWER_MARGIN: Micros = 30_000;
 
-/// No caller waits longer than so many times its class's deadline; without one, than an hour.
+/// The longest wait of a caller, in deadlines of its class; an hour if the class has no deadline.
 const MAX_WAIT_IN_DEADLINES: Micros = 4;
 const MAX_WAIT_WITHOUT_DEADLINE: Micros = 3_600_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValidationError {
     UnknownClass,
-    /// It asks for a server that cannot be, or for a wait that no caller of its class has.
+    /// It names a server that cannot exist, or a wait that no caller of its class has.
     OutOfRange,
-    /// Its caller gives up before any answer could reach it.
+    /// Its caller gives up before any answer could arrive.
     NoTimeLeft,
-    /// A call of this id is open or has just been answered. Whatever is said now would be its second answer.
+    /// A call with this id is open or has just been answered. Any answer would be its second one.
     DuplicateCall,
 }
 
@@ -52,8 +52,8 @@
         })
     }
 
-    /// What is out of range would only be refused by servers, at the cost of their time, and timers for waits
-    /// without end would pile up here.
+    /// Servers would refuse a set-up that is out of range, at the cost of their time, and the timers of
+    /// unlimited waits would accumulate in this process.
     fn is_in_range(&self, request: &Request) -> bool {
         let max_wait = match self.site.deadlines.get(request.class) {
             Some(&deadline) if deadline > 0 => MAX_WAIT_IN_DEADLINES * deadline,
