--- a/core/src/accounting.rs
+++ b/core/src/accounting.rs
@@ -15,7 +15,7 @@
 /// builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
-    SentWhenCallEnd,
+    SentWhenOver,
     SecondAttempt,
     TooManyAttempts,
     SentToDraining,
@@ -26,7 +26,7 @@
 
 impl Breach {
     pub const ALL: [Breach; 7] = [
-        Breach::SentWhenCallEnd,
+        Breach::SentWhenOver,
         Breach::SecondAttempt,
         Breach::TooManyAttempts,
         Breach::SentToDraining,
--- a/core/src/call_state.rs
+++ b/core/src/call_state.rs
@@ -229,8 +229,8 @@
                 .uncertain_since
                 .is_none_or(|from| self.deliveries.began_before(*call, from))
             {
-                // Releases that began after ownership became uncertain were announced to all members, so they
-                // are delivered here.
+                // Only a release that began before ownership became uncertain is dropped. A later one was
+                // announced to all members and is delivered here.
                 self.deliveries.remove(*call);
                 self.unclaimed.remove(*call);
             }
--- a/core/src/delivery.rs
+++ b/core/src/delivery.rs
@@ -31,7 +31,7 @@
 /// A release that was not sent within this time is withdrawn: its connection does not drain.
 const SEND_TIMEOUT: Micros = 150_000;
 /// Interval between two checks for unread input on a connection that has not acknowledged a release.
-const SILENCE_CHECK_INTERVAL: Micros = 50_000;
+const UNREAD_CHECK_INTERVAL: Micros = 50_000;
 /// How long a connection that may still acknowledge a release is kept open: while clients are drained, and
 /// when it is idle.
 pub const DRAIN_ACK_GRACE: Micros = 600_000;
@@ -275,7 +275,7 @@
                     release.due = ack_deadline;
                     return;
                 }
-                release.due = now + SILENCE_CHECK_INTERVAL;
+                release.due = now + UNREAD_CHECK_INTERVAL;
                 self.effects.push(Effect::CheckUnreadInput { client, call });
             }
         }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,8 +1,10 @@
 //! The call agent's core: calls, attempts and outcomes, without sockets, clock or wire format.
 //!
 //! The owner passes in events with the current time and carries out the [`Effect`]s that the core returns. A
-//! set-up passes these stages in turn: [`validate`], [`admit`], [`route`], [`send`], [`relay`];
-//! [`accounting`] counts its outcome.
+//! set-up passes these stages in turn: `validate`, `admit`, `route`, `send`, `relay`;
+//! `accounting` counts its outcome.
+//!
+//! Times and durations are in microseconds ([`Micros`]), on a clock that the owner reads.
 
 mod accounting;
 mod admit;
@@ -67,6 +69,7 @@
     /// When the last byte of the set-up was received, and how long its caller waits from then on.
     pub received_at: Micros,
     pub remaining: Micros,
+    /// The call was established before, was cut off and is set up again.
     pub was_cut: bool,
 }
 
@@ -237,6 +240,8 @@
     FinalAnswers,
 }
 
+/// The state of one call agent. Each method that handles an event may add effects, which the owner takes with
+/// [`Core::take_effects`] afterwards.
 pub struct Core {
     site: Site,
     admission: Admission,
@@ -289,6 +294,7 @@
         self.effects.iter().any(|effect| matches!(effect, Effect::SetUp { .. }))
     }
 
+    /// When [`Core::run_timers`] has to be called next.
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
@@ -325,6 +331,7 @@
         })
     }
 
+    /// Handles all timers that have expired by now.
     pub fn run_timers(&mut self, now: Micros) {
         while self.next_timer().is_some_and(|at| at <= now) {
             let Some(Reverse((_, event))) = self.timers.pop() else { break };
@@ -479,10 +486,12 @@
         self.has_established_call_at(server) || self.pending.values().any(has_attempt)
     }
 
+    /// Passes on the load figures that a server reported.
     pub fn report(&mut self, now: Micros, server: ServerId, report: Report) {
         self.decide(now, Event::Probed { server, ok: true, lag: 0, report });
     }
 
+    /// Passes on the outcome of a probe; `lag`: the time until the server answered it.
     pub fn probed(&mut self, now: Micros, server: ServerId, ok: bool, lag: Micros, report: Report) {
         self.decide(now, Event::Probed { server, ok, lag, report });
     }
--- a/core/src/send.rs
+++ b/core/src/send.rs
@@ -154,7 +154,7 @@
         let max_attempts = limits.attempts.max(1);
         let is_ready = self.route.is_ready(server);
         let Some(pending) = self.pending.get_mut(&call) else {
-            self.accounting.record_breach(Breach::SentWhenCallEnd);
+            self.accounting.record_breach(Breach::SentWhenOver);
             return;
         };
         let breach = if pending.in_flight.is_some() {
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -86,8 +86,8 @@
             self.now = at;
             self.core.run_timers(at);
             let effects = self.effects().into_iter();
-            let acts = effects.filter(|effect| !matches!(effect, Effect::Log(_)));
-            done.extend(acts.map(|effect| (at, effect)));
+            let visible = effects.filter(|effect| !matches!(effect, Effect::Log(_)));
+            done.extend(visible.map(|effect| (at, effect)));
         }
         self.now = until;
         done
@@ -334,8 +334,12 @@
     assert_eq!(open(&mut test, 6, 8), [close(4)]);
     let start = test.now;
     let closed = test.pass_all(9_000 * MS);
-    let (silent, tested): (Vec<_>, Vec<_>) = closed.iter().partition(|(at, _)| *at < start + 3_000 * MS);
-    assert_eq!(silent.into_iter().map(|(_, effect)| effect).collect::<Vec<_>>(), [&close(5), &close(6)]);
+    let (without_input, tested): (Vec<_>, Vec<_>) =
+        closed.iter().partition(|(at, _)| *at < start + 3_000 * MS);
+    assert_eq!(
+        without_input.into_iter().map(|(_, effect)| effect).collect::<Vec<_>>(),
+        [&close(5), &close(6)]
+    );
     let tested: Vec<_> = tested.into_iter().map(|(_, effect)| effect).collect();
     assert_eq!(
         tested,
@@ -439,23 +443,23 @@
         let mut test = TestCore::new();
         // The expected counts follow only from what the caller receives.
         let (mut open, mut offered) = (Vec::new(), 0u64);
-        let (mut stood, mut refused, mut failed, mut left) = (0u64, 0u64, 0u64, 0u64);
+        let (mut established, mut refused, mut failed, mut abandoned) = (0u64, 0u64, 0u64, 0u64);
         for step in 0..60 {
-            let (call, what) = (run * 1_000 + step, random(&mut seed) % 7);
+            let (call, action) = (run * 1_000 + step, random(&mut seed) % 7);
             let server = if random(&mut seed).is_multiple_of(2) { ONE } else { TWO };
-            let about = random(&mut seed) as usize;
-            let one = (!open.is_empty()).then(|| open[about % open.len()]);
-            let mut effects = match (what, one) {
+            let choice = random(&mut seed) as usize;
+            let chosen = (!open.is_empty()).then(|| open[choice % open.len()]);
+            let mut effects = match (action, chosen) {
                 (0..=2, _) => {
                     offered += 1;
                     open.push(call);
                     test.offer(call, 1_000 * MS)
                 }
                 (3, Some(call)) => test.answer(server, call),
-                (4, Some(call)) => test.end(server, call, ReleaseCause([34, 17, 41][about % 3])),
+                (4, Some(call)) => test.end(server, call, ReleaseCause([34, 17, 41][choice % 3])),
                 (5, Some(call)) => {
                     test.core.client_ended(test.now, CALLER, CallId(call), ReleaseCause::NORMAL);
-                    left += 1;
+                    abandoned += 1;
                     open.retain(|other| *other != call);
                     test.core.take_effects()
                 }
@@ -464,7 +468,7 @@
             effects.extend(test.pass_all(20 * MS).into_iter().map(|(_, effect)| effect));
             for effect in effects {
                 let (call, count) = match effect {
-                    Effect::Answer { call, .. } => (call, &mut stood),
+                    Effect::Answer { call, .. } => (call, &mut established),
                     Effect::FinalAnswer { call, verdict: Verdict::Refused { .. }, .. } => {
                         (call, &mut refused)
                     }
@@ -474,10 +478,10 @@
                 *count += 1;
                 open.retain(|other| *other != call.0);
             }
-            let seen = ClassCounts { success: stood, overload: refused, error: failed };
-            assert_eq!(test.core.counts().classes, [seen], "run {run}, step {step}");
+            let counted = ClassCounts { success: established, overload: refused, error: failed };
+            assert_eq!(test.core.counts().classes, [counted], "run {run}, step {step}");
             assert_eq!(test.core.unanswered_calls(), open.len(), "run {run}, step {step}");
-            assert_eq!(offered, stood + refused + failed + left + open.len() as u64);
+            assert_eq!(offered, established + refused + failed + abandoned + open.len() as u64);
         }
     }
 }
--- a/core/src/unclaimed.rs
+++ b/core/src/unclaimed.rs
@@ -5,7 +5,7 @@
 //! is about to. So the release is first announced to all members: a member that holds the call drops it, and
 //! a member that has told the caller replies so. Once all members have replied, or the timeout has passed,
 //! and none has claimed the release, it is delivered here. If two members announce the same release, the one
-//! with the lower name delivers it.
+//! whose name sorts first delivers it.
 //!
 //! The same applies to the releases of calls established here while ownership is uncertain
 //! ([`Core::set_ownership_uncertain`]): a successor may have delivered a release of its own, such as one for
