--- a/core/src/admit.rs
+++ b/core/src/admit.rs
@@ -6,7 +6,8 @@
 
 /// Applies if the settings name no limit, and as an upper limit if they do.
 const DEFAULT_MAX_OPEN_CALLS: usize = 20_000;
-/// One client may have this fraction of the open calls, but at least `MIN_OPEN_CALLS_PER_CLIENT`.
+/// One client may have one in `CLIENT_SHARE_DIVISOR` of the open calls, but always
+/// `MIN_OPEN_CALLS_PER_CLIENT` of them.
 const CLIENT_SHARE_DIVISOR: usize = 4;
 const MIN_OPEN_CALLS_PER_CLIENT: usize = 64;
 
--- a/core/src/lifecycle.rs
+++ b/core/src/lifecycle.rs
@@ -31,7 +31,8 @@
 /// How long a stopping process without a replacement accepts set-ups as usual: new connections are opened for
 /// 0.4 s, carry set-ups for 0.2 s more, and the set-ups need some time to arrive.
 const STOPPING_SERVE_PERIOD: Micros = 700_000;
-/// Until then set-ups are accepted if they are answered before the kill, since they may have been read late.
+/// How long a stopping process without a replacement still accepts set-ups that are answered before the kill,
+/// since they may have been read late.
 const STOPPING_ACCEPT_PERIOD: Micros = 900_000;
 /// No set-ups are accepted for this time before the kill; callers' connections are closed in it.
 const REJECT_BEFORE_KILL: Micros = 350_000;
