--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions of a call controller at the edge of a network with a few central call servers.
+//! Admission, routing and load shedding of a call controller at the edge of a network with a few central call
+//! servers.
 //!
-//! [`Controller`] is a state machine without I/O: the access node hands it events with the present time, and
-//! it answers with actions. It keeps no clock, no threads and no globals; the same events and seed give the
-//! same actions.
+//! [`Controller`] is a state machine without I/O: the access node passes it events with the present time, and
+//! the controller returns actions. It has no clock, threads or global state; the same seed and events give
+//! the same actions.
 //!
 //! ```
 //! use steprelay_decisions::*;
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -1,10 +1,11 @@
-//! Measuring tools of the controller: they hold no decision and no tuned value.
+//! Rate estimation and random numbers for the controller, without tuned constants.
 
 use crate::interface::Micros;
 
 pub const SECOND: Micros = 1_000_000;
 
-/// Events a second, with an exponential window.
+/// A count of events with exponential decay, from which a rate follows. All calls on one value use the same
+/// time constant, `window`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     pub count: f64,
@@ -12,25 +13,29 @@
 }
 
 impl Rate {
-    pub fn add(&mut self, now: Micros, over: Micros, events: f64) {
-        self.count = self.counted(now, over) + events;
+    /// Adds `events` at `now`.
+    pub fn add(&mut self, now: Micros, window: Micros, events: f64) {
+        self.count = self.counted(now, window) + events;
         self.at = now;
     }
 
-    pub fn counted(&self, now: Micros, over: Micros) -> f64 {
-        self.count * (-seconds((now - self.at).max(0)) / seconds(over)).exp()
+    /// Returns the decayed count of events.
+    pub fn counted(&self, now: Micros, window: Micros) -> f64 {
+        self.count * (-seconds((now - self.at).max(0)) / seconds(window)).exp()
     }
 
-    pub fn per_s(&self, now: Micros, over: Micros) -> f64 {
-        self.counted(now, over) / seconds(over)
+    /// Returns the rate in events per second.
+    pub fn per_s(&self, now: Micros, window: Micros) -> f64 {
+        self.counted(now, window) / seconds(window)
     }
 }
 
+/// Converts a duration to seconds.
 pub fn seconds(span: Micros) -> f64 {
     span as f64 / SECOND as f64
 }
 
-/// splitmix64, from a seed.
+/// A seeded pseudo-random generator (splitmix64).
 #[derive(Clone, Debug)]
 pub struct Random(u64);
 
@@ -39,8 +44,8 @@
         Random(seed ^ 0x9e37_79b9_7f4a_7c15)
     }
 
-    /// A figure from 0 up to 1.
-    pub fn figure(&mut self) -> f64 {
+    /// Returns a uniformly distributed number in [0, 1).
+    pub fn next_unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
