--- a/agent/src/config.rs
+++ b/agent/src/config.rs
@@ -177,7 +177,7 @@
 
     fn from_raw(raw: RawConfig) -> Result<Self, Wrong> {
         steprelay_settings::check(&raw.settings)?;
-        let site = steprelay_settings::site(&raw.settings);
+        let site = steprelay_settings::site_settings(&raw.settings);
         if site.class_names.is_empty() {
             return Err(wrong("settings.services", "no class of call is named"));
         }
--- a/agent/src/front/platform/clients.rs
+++ b/agent/src/front/platform/clients.rs
@@ -169,7 +169,10 @@
     };
     let left: f64 = message.left.as_deref()?.parse().ok().filter(|left: &f64| left.is_finite())?;
     let extras = extras(message.extras.as_deref().unwrap_or_default())?;
-    if extras.width.is_some_and(|width| site.widths.iter().max().is_some_and(|&widest| width > widest)) {
+    if extras
+        .width
+        .is_some_and(|width| site.lines_per_call.iter().max().is_some_and(|&widest| width > widest))
+    {
         return None;
     }
     Some(Request {
--- a/agent/src/front/platform/servers.rs
+++ b/agent/src/front/platform/servers.rs
@@ -121,7 +121,7 @@
     own: Option<&Outbox<ToServer>>,
     shared: &Shared,
 ) -> Result<Input, Unreadable> {
-    let (report, unfit) = message.report(shared.site.reported);
+    let (report, unfit) = message.report(shared.site.report_fields);
     if unfit > 0 {
         shared.tally(|tallies| tallies.unfit_figures += unfit);
     }
--- a/agent/tests/platform.rs
+++ b/agent/tests/platform.rs
@@ -699,7 +699,7 @@
         (
             "/policyLimits/tryLimit",
             json!("five"),
-            "settings.policyLimits.tryLimit: \"five\" is not a whole number from 0 on",
+            "settings.policyLimits.tryLimit: \"five\" is not a non-negative integer",
         ),
     ];
     for (place, value, said) in table {
--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -1,5 +1,5 @@
-//! Whether settings can be meant. What is not there is "not told"; what is there and cannot be is said with
-//! its key, and is never replaced by a figure of our own.
+//! Validates settings. A missing key is valid and leaves its setting unset. An invalid value is an error that
+//! names its key; no default replaces it.
 
 use std::collections::BTreeSet;
 
@@ -8,15 +8,16 @@
 
 use crate::{report_slot, whole};
 
-/// What is wrong with the settings, and where.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{key}: {why}")]
+#[error("{key}: {reason}")]
 pub struct SettingsError {
+    /// Path of the key, such as `services[1].name`.
     pub key: String,
-    pub why: String,
+    pub reason: String,
 }
 
-/// What a value may be.
+/// The valid values of a key.
 #[derive(Clone, Copy)]
 enum Kind {
     /// Milliseconds.
@@ -30,13 +31,14 @@
     OneOf(&'static [&'static str]),
 }
 
-/// No time that is told is longer, which is eleven days; and no number greater.
-const LONGEST_MS: f64 = 1e9;
-const GREATEST: f64 = 1e12;
+/// Maximum of a time, in milliseconds (eleven days).
+const MAX_TIME_MS: f64 = 1e9;
+/// Maximum of a number that is neither a time nor a count.
+const MAX_NUMBER: f64 = 1e12;
 
 use Kind::{Count, Flag, Fraction, Name, Number, OneOf, Time};
 
-/// The keys that are read, as paths. `[]` stands for each entry of a list.
+/// The keys that are read, as paths. `[]` denotes every entry of a list.
 const KEYS: [(&str, Kind); 30] = [
     ("groupSize", Count),
     ("me", Count),
@@ -70,136 +72,137 @@
     ("clientHabits.marksRetry", Flag),
 ];
 
-/// Lists with an entry for each class of call, and what their entries may be.
-const OF_CLASSES: [(&str, Kind); 2] = [("widths", Count), ("meanHoldMs", Time)];
+/// Lists with one entry for each class of calls, and the valid values of their entries.
+const PER_CLASS_LISTS: [(&str, Kind); 2] = [("widths", Count), ("meanHoldMs", Time)];
 
-/// Finds the first thing that is wrong.
+/// Validates the settings.
 ///
 /// # Errors
-/// A key holds something that it cannot.
+/// Returns the first invalid value that is found.
 pub fn check(all: &Value) -> Result<(), SettingsError> {
     if !all.is_object() {
-        return Err(wrong("", "is not an object"));
+        return Err(invalid("", "is not an object"));
     }
     for (path, kind) in KEYS {
-        each(all, path, String::new(), &mut |key, value| one(key, value, kind))?;
+        check_path(all, path, String::new(), &mut |key, value| check_value(key, value, kind))?;
     }
     for list in ["services", "parties"] {
-        named_once(all, list)?;
+        check_unique_names(all, list)?;
     }
     let classes = all["services"].as_array().map_or(0, Vec::len);
-    for (name, kind) in OF_CLASSES {
+    for (name, kind) in PER_CLASS_LISTS {
         let key = format!("specifics.{name}");
-        for (place, value) in of_classes(&all["specifics"][name], &key, classes)?.iter().enumerate() {
-            one(&format!("{key}[{place}]"), value, kind)?;
+        for (index, value) in per_class_list(&all["specifics"][name], &key, classes)?.iter().enumerate() {
+            check_value(&format!("{key}[{index}]"), value, kind)?;
         }
     }
     let key = "specifics.allowedPools";
-    for (place, pools) in of_classes(&all["specifics"]["allowedPools"], key, classes)?.iter().enumerate() {
-        let key = format!("{key}[{place}]");
-        let pools = pools.as_array().ok_or_else(|| wrong(&key, "is not a list"))?;
-        pools.iter().try_for_each(|pool| one(&key, pool, Count))?;
+    for (index, pools) in per_class_list(&all["specifics"]["allowedPools"], key, classes)?.iter().enumerate()
+    {
+        let key = format!("{key}[{index}]");
+        let pools = pools.as_array().ok_or_else(|| invalid(&key, "is not a list"))?;
+        pools.iter().try_for_each(|pool| check_value(&key, pool, Count))?;
     }
     let fields = &all["report"]["fields"];
     if !fields.is_null() {
-        let fields = fields.as_array().ok_or_else(|| wrong("report.fields", "is not a list"))?;
+        let fields = fields.as_array().ok_or_else(|| invalid("report.fields", "is not a list"))?;
         for field in fields {
             let name = field.as_str().unwrap_or_default();
             if report_slot(&mut Report::default(), name).is_none() {
-                return Err(wrong("report.fields", format!("no report that is known: {field}")));
+                return Err(invalid("report.fields", format!("unknown report field {field}")));
             }
         }
     }
     if let (Some(me), Some(size)) = (whole(&all["me"]), whole(&all["groupSize"])) {
         if size > 0 && me >= size {
-            return Err(wrong("me", format!("{me} is none of {size}, counted from 0")));
+            return Err(invalid("me", format!("{me} is not below groupSize, which is {size}")));
         }
     }
     Ok(())
 }
 
-fn wrong(key: &str, why: impl Into<String>) -> SettingsError {
-    SettingsError { key: key.into(), why: why.into() }
+fn invalid(key: &str, reason: impl Into<String>) -> SettingsError {
+    SettingsError { key: key.into(), reason: reason.into() }
 }
 
-/// Hands on what stands at a path, wherever it does.
-fn each(
+/// Calls `check` with each value at a path and with its key.
+fn check_path(
     value: &Value,
     path: &str,
-    so_far: String,
-    take: &mut impl FnMut(&str, &Value) -> Result<(), SettingsError>,
+    parent: String,
+    check: &mut impl FnMut(&str, &Value) -> Result<(), SettingsError>,
 ) -> Result<(), SettingsError> {
     let (step, rest) = path.split_once('.').unwrap_or((path, ""));
     let (name, is_list) = step.strip_suffix("[]").map_or((step, false), |name| (name, true));
-    let key = if so_far.is_empty() { name.to_string() } else { format!("{so_far}.{name}") };
+    let key = if parent.is_empty() { name.to_string() } else { format!("{parent}.{name}") };
     let found = &value[name];
     if found.is_null() {
         return Ok(());
     }
     if rest.is_empty() {
-        return take(&key, found);
+        return check(&key, found);
     }
     if is_list {
-        let entries = found.as_array().ok_or_else(|| wrong(&key, "is not a list"))?;
-        for (place, entry) in entries.iter().enumerate() {
-            let key = format!("{key}[{place}]");
+        let entries = found.as_array().ok_or_else(|| invalid(&key, "is not a list"))?;
+        for (index, entry) in entries.iter().enumerate() {
+            let key = format!("{key}[{index}]");
             if !entry.is_object() {
-                return Err(wrong(&key, "is not an object"));
+                return Err(invalid(&key, "is not an object"));
             }
-            each(entry, rest, key, take)?;
+            check_path(entry, rest, key, check)?;
         }
         return Ok(());
     }
     if !found.is_object() {
-        return Err(wrong(&key, "is not an object"));
+        return Err(invalid(&key, "is not an object"));
     }
-    each(found, rest, key, take)
+    check_path(found, rest, key, check)
 }
 
-fn one(key: &str, value: &Value, kind: Kind) -> Result<(), SettingsError> {
+fn check_value(key: &str, value: &Value, kind: Kind) -> Result<(), SettingsError> {
     let number = || value.as_f64().filter(|number| number.is_finite());
-    let within = |most: f64| number().is_some_and(|number| (0.0..=most).contains(&number));
-    let (good, what) = match kind {
-        Time => (within(LONGEST_MS), "a time in milliseconds"),
-        Number => (within(GREATEST), "a number from 0 on"),
+    let within = |max: f64| number().is_some_and(|number| (0.0..=max).contains(&number));
+    let (is_valid, expected) = match kind {
+        Time => (within(MAX_TIME_MS), "a time in milliseconds"),
+        Number => (within(MAX_NUMBER), "a non-negative number"),
         Fraction => (within(1.0), "a fraction from 0 to 1"),
-        Count => (whole(value).is_some(), "a whole number from 0 on"),
+        Count => (whole(value).is_some(), "a non-negative integer"),
         Flag => (value.is_boolean(), "true or false"),
-        Name => (value.as_str().is_some_and(|name| !name.is_empty()), "a name"),
-        OneOf(words) => {
-            if value.as_str().is_some_and(|word| words.contains(&word)) {
+        Name => (value.as_str().is_some_and(|name| !name.is_empty()), "a non-empty string"),
+        OneOf(names) => {
+            if value.as_str().is_some_and(|name| names.contains(&name)) {
                 return Ok(());
             }
-            return Err(wrong(key, format!("{value} is none of {}", words.join(", "))));
+            return Err(invalid(key, format!("{value} is not one of {}", names.join(", "))));
         }
     };
-    if good {
+    if is_valid {
         return Ok(());
     }
-    Err(wrong(key, format!("{value} is not {what}")))
+    Err(invalid(key, format!("{value} is not {expected}")))
 }
 
-/// Each entry has a name, and no two have the same one.
-fn named_once(all: &Value, list: &str) -> Result<(), SettingsError> {
+/// Checks that each entry of a list has a name, and that no two names are equal.
+fn check_unique_names(all: &Value, list: &str) -> Result<(), SettingsError> {
     let mut names = BTreeSet::new();
-    for (place, entry) in all[list].as_array().into_iter().flatten().enumerate() {
-        let key = format!("{list}[{place}].name");
-        let name = entry["name"].as_str().ok_or_else(|| wrong(&key, "is not there"))?;
+    for (index, entry) in all[list].as_array().into_iter().flatten().enumerate() {
+        let key = format!("{list}[{index}].name");
+        let name = entry["name"].as_str().ok_or_else(|| invalid(&key, "is missing"))?;
         if !names.insert(name) {
-            return Err(wrong(&key, format!("'{}' stands there twice", name.escape_debug())));
+            return Err(invalid(&key, format!("'{}' is used twice", name.escape_debug())));
         }
     }
     Ok(())
 }
 
-/// A list that has an entry for each class, or is not there.
-fn of_classes<'a>(value: &'a Value, key: &str, classes: usize) -> Result<&'a [Value], SettingsError> {
+/// Returns a list that has one entry for each class; an absent list is empty.
+fn per_class_list<'a>(value: &'a Value, key: &str, classes: usize) -> Result<&'a [Value], SettingsError> {
     if value.is_null() {
         return Ok(&[]);
     }
-    let entries = value.as_array().ok_or_else(|| wrong(key, "is not a list"))?;
+    let entries = value.as_array().ok_or_else(|| invalid(key, "is not a list"))?;
     if entries.len() != classes {
-        return Err(wrong(key, format!("has {} entries for {classes} classes", entries.len())));
+        return Err(invalid(key, format!("has {} entries for {classes} classes", entries.len())));
     }
     Ok(entries)
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads the settings object that a call agent and the simulator's adapter are both given.
+//! Parses the settings object of a call agent and of the simulator's adapter.
 //!
-//! Unknown keys are skipped and missing ones stay at "not told", so that a deployment may add keys. What is
-//! there and cannot be meant is found by [`check`].
+//! Unknown keys are ignored, so that a deployment may add keys. A missing key leaves its setting unset; no
+//! default replaces it. [`check`] finds invalid values.
 
 mod check;
 
@@ -9,6 +9,7 @@
 use serde_json::Value;
 use steprelay_decisions::{Class, Limits, Micros, Report, Rules, Settings, Tenant};
 
+/// Converts milliseconds to microseconds, rounded.
 pub fn micros(millis: f64) -> Micros {
     (millis * 1000.0).round() as Micros
 }
@@ -21,7 +22,7 @@
     micros(number(value))
 }
 
-/// A whole number, however it is written.
+/// Returns a non-negative integer, which may be written with a fraction of zero.
 fn whole(value: &Value) -> Option<u32> {
     let number = value.as_f64().filter(|number| (0.0..=f64::from(u32::MAX)).contains(number));
     number.filter(|number| number.fract() == 0.0).map(|number| number as u32)
@@ -39,20 +40,20 @@
     value.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// What the decisions need to know of the settings.
-pub fn decisions(all: &Value) -> Settings {
+/// Parses the controller's part of the settings.
+pub fn decision_settings(all: &Value) -> Settings {
     let (limits, rules, facts) = (&all["policyLimits"], &all["rules"], &all["specifics"]);
     let (allowed, holds) = (list(&facts["allowedPools"]), list(&facts["meanHoldMs"]));
-    let class = |(place, class): (usize, &Value)| Class {
+    let class = |(index, class): (usize, &Value)| Class {
         slo: time(&class["sloMs"]),
         importance: number(&class["importance"]),
         late_factor: number(&class["lateShare"]),
         idempotent: class["idempotency"].as_str() == Some("idempotent"),
         allowed_servers: allowed
-            .get(place)
+            .get(index)
             .and_then(Value::as_array)
             .map(|numbers| numbers.iter().filter_map(whole).collect()),
-        mean_hold_time: holds.get(place).map_or(0, time),
+        mean_hold_time: holds.get(index).map_or(0, time),
     };
     Settings {
         group_size: count(&all["groupSize"]),
@@ -81,71 +82,77 @@
         },
         retry_delay: time(&facts["clearWaitMs"]),
         t1: time(&facts["t1Ms"]),
-        load_unreported: is_unreported(&all["report"]),
+        load_unreported: is_load_unreported(&all["report"]),
         callers_mark_redials: flag(&all["clientHabits"]["marksRetry"]),
         home_number: whole(&facts["homeNo"]),
     }
 }
 
-/// Whether reports of this kind tell nothing of a processor. Where it is not told, they may.
-fn is_unreported(report: &Value) -> bool {
-    let of_lines = |field: &Value| {
+/// Whether reports of this kind hold nothing about a processor. Returns `false` where the settings do not
+/// say.
+fn is_load_unreported(report: &Value) -> bool {
+    let is_about_lines = |field: &Value| {
         let mut slots = Report::default();
         let slot =
             field.as_str().and_then(|name| report_slot(&mut slots, name)).map(|slot| *slot = Some(1.0));
         slot.is_none() || slots.free_lines.or(slots.total_lines).is_some()
     };
-    report["how"] == "none" || report["fields"].as_array().is_some_and(|fields| fields.iter().all(of_lines))
+    report["how"] == "none"
+        || report["fields"].as_array().is_some_and(|fields| fields.iter().all(is_about_lines))
 }
 
-/// The rest of the settings, which only a program on real sockets needs.
+/// All settings, including those that only a program with real sockets needs.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
     pub decisions: Settings,
     pub class_names: Vec<String>,
     pub tenant_names: Vec<String>,
-    /// How long callers of each class wait at most, and how many lines a call takes.
+    /// Longest time that a caller of each class waits for an answer; 0 where it is not set.
     pub deadlines: Vec<Micros>,
-    pub widths: Vec<u32>,
+    /// Lines that a call of each class occupies.
+    pub lines_per_call: Vec<u32>,
+    /// Timeout for establishing a connection.
     pub dial_timeout: Micros,
-    /// Connections idle for this long are closed by the other side.
+    /// Idle timeout after which the other side closes a connection.
     pub conn_idle: Micros,
-    /// How many requests may be open at once.
+    /// Maximum number of concurrent requests.
     pub max_open: usize,
-    /// How long after a notice a draining server may still be sent set-ups.
+    /// Grace period after the notice of a drain, in which the server may still be sent set-ups.
     pub drain_grace: Micros,
-    /// The figures that reports hold, each set to something; `None` where the settings do not tell.
-    pub reported: Option<Report>,
+    /// The fields that load reports hold, each with some value; `None` where the settings do not say.
+    pub report_fields: Option<Report>,
 }
 
-pub fn site(all: &Value) -> Site {
+/// Parses all settings.
+pub fn site_settings(all: &Value) -> Site {
     let names = |value: &Value| {
         list(value).iter().map(|named| named["name"].as_str().unwrap_or_default().to_string()).collect()
     };
     let limits = &all["policyLimits"];
     Site {
-        decisions: decisions(all),
+        decisions: decision_settings(all),
         class_names: names(&all["services"]),
         tenant_names: names(&all["parties"]),
         deadlines: list(&all["services"]).iter().map(|class| time(&class["hardLimitMs"])).collect(),
-        widths: list(&all["specifics"]["widths"]).iter().map(count).collect(),
+        lines_per_call: list(&all["specifics"]["widths"]).iter().map(count).collect(),
         dial_timeout: time(&limits["dialTimeoutMs"]),
         conn_idle: time(&limits["connIdleMs"]),
         max_open: count(&limits["maxOpen"]) as usize,
         drain_grace: time(&all["rules"]["stopSendingWithinMs"]),
-        reported: all["report"]["fields"].as_array().map(|fields| reported(fields)),
+        report_fields: all["report"]["fields"].as_array().map(|fields| report_fields(fields)),
     }
 }
 
-fn reported(fields: &[Value]) -> Report {
+fn report_fields(fields: &[Value]) -> Report {
     let mut report = Report::default();
-    for slot in fields.iter().filter_map(Value::as_str) {
-        report_slot(&mut report, slot).into_iter().for_each(|slot| *slot = Some(0.0));
+    for name in fields.iter().filter_map(Value::as_str) {
+        report_slot(&mut report, name).into_iter().for_each(|slot| *slot = Some(0.0));
     }
     report
 }
 
-/// Where a report keeps the figure of this name. The first of each pair is the simulator's name.
+/// Returns the field of a report that holds the value of this name, and `None` for an unknown name. Of the
+/// two names of each field, the first is the simulator's.
 pub fn report_slot<'a>(report: &'a mut Report, name: &str) -> Option<&'a mut Option<f64>> {
     Some(match name {
         "spare" | "x0" => &mut report.free_lines,
--- a/settings/tests/check.rs
+++ b/settings/tests/check.rs
@@ -1,10 +1,10 @@
-//! Settings that cannot be meant are said with their key.
+//! Validation of settings: an invalid value is reported with its key.
 
 use serde_json::{json, Value};
-use steprelay_settings::{check, site};
+use steprelay_settings::{check, site_settings};
 
-/// Nobody's settings, of the shape that all have.
-fn good() -> Value {
+/// Valid settings of a made-up deployment.
+fn valid_settings() -> Value {
     json!({
         "groupSize": 7, "me": 6, "overShareWorth": 0.3, "discovery": "automatic",
         "services": [
@@ -23,69 +23,69 @@
             "allowedPools": [[0, 1], [1]], "homeNo": -1},
         "report": {"how": "answers", "fields": ["spare", "total", "lat_ms"]},
         "clientHabits": {"marksRetry": false},
-        "of another day": {"unknown": ["keys", 1]},
+        "unknownSection": {"unknown": ["keys", 1]},
     })
 }
 
 #[test]
-fn each_wrong_value_is_said_with_its_key() {
-    assert_eq!(check(&good()), Ok(()));
+fn an_invalid_value_is_reported_with_its_key() {
+    assert_eq!(check(&valid_settings()), Ok(()));
     let table = [
-        ("/groupSize", json!(-1), "groupSize: -1 is not a whole number from 0 on"),
-        ("/groupSize", json!("7"), "groupSize: \"7\" is not a whole number from 0 on"),
-        ("/me", json!(7), "me: 7 is none of 7, counted from 0"),
+        ("/groupSize", json!(-1), "groupSize: -1 is not a non-negative integer"),
+        ("/groupSize", json!("7"), "groupSize: \"7\" is not a non-negative integer"),
+        ("/me", json!(7), "me: 7 is not below groupSize, which is 7"),
         ("/overShareWorth", json!(1.5), "overShareWorth: 1.5 is not a fraction from 0 to 1"),
-        ("/discovery", json!("poll"), "discovery: \"poll\" is none of automatic, subscribe"),
+        ("/discovery", json!("poll"), "discovery: \"poll\" is not one of automatic, subscribe"),
         ("/services", json!({}), "services: is not a list"),
         ("/services/1", json!(3), "services[1]: is not an object"),
-        ("/services/1/name", json!(""), "services[1].name: \"\" is not a name"),
-        ("/services/1/name", json!("query"), "services[1].name: 'query' stands there twice"),
+        ("/services/1/name", json!(""), "services[1].name: \"\" is not a non-empty string"),
+        ("/services/1/name", json!("query"), "services[1].name: 'query' is used twice"),
         ("/services/0/sloMs", json!(1e300), "services[0].sloMs: 1e+300 is not a time in milliseconds"),
         (
             "/services/0/hardLimitMs",
             json!("9 s"),
             "services[0].hardLimitMs: \"9 s\" is not a time in milliseconds",
         ),
-        ("/services/0/importance", json!(-2), "services[0].importance: -2 is not a number from 0 on"),
+        ("/services/0/importance", json!(-2), "services[0].importance: -2 is not a non-negative number"),
         (
             "/services/0/idempotency",
             json!("safe"),
-            "services[0].idempotency: \"safe\" is none of idempotent, deduplicated, at_most_once",
+            "services[0].idempotency: \"safe\" is not one of idempotent, deduplicated, at_most_once",
         ),
-        ("/parties/0/quotaRps", json!([]), "parties[0].quotaRps: [] is not a number from 0 on"),
+        ("/parties/0/quotaRps", json!([]), "parties[0].quotaRps: [] is not a non-negative number"),
         ("/policyLimits", json!([]), "policyLimits: is not an object"),
         ("/policyLimits/cancel", json!(1), "policyLimits.cancel: 1 is not true or false"),
-        ("/policyLimits/tryLimit", json!(2.5), "policyLimits.tryLimit: 2.5 is not a whole number from 0 on"),
+        ("/policyLimits/tryLimit", json!(2.5), "policyLimits.tryLimit: 2.5 is not a non-negative integer"),
         (
             "/policyLimits/dialTimeoutMs",
             json!(-5),
             "policyLimits.dialTimeoutMs: -5 is not a time in milliseconds",
         ),
         ("/rules/startCapacity", json!(30), "rules.startCapacity: 30 is not a fraction from 0 to 1"),
-        ("/rules/fallMultiple", json!(true), "rules.fallMultiple: true is not a number from 0 on"),
+        ("/rules/fallMultiple", json!(true), "rules.fallMultiple: true is not a non-negative number"),
         ("/specifics/widths", json!([1]), "specifics.widths: has 1 entries for 2 classes"),
         ("/specifics/meanHoldMs/1", json!(-1), "specifics.meanHoldMs[1]: -1 is not a time in milliseconds"),
         ("/specifics/allowedPools/0", json!(0), "specifics.allowedPools[0]: is not a list"),
-        ("/report/fields/2", json!("mood"), "report.fields: no report that is known: \"mood\""),
+        ("/report/fields/2", json!("mood"), "report.fields: unknown report field \"mood\""),
         ("/clientHabits/marksRetry", json!("no"), "clientHabits.marksRetry: \"no\" is not true or false"),
     ];
-    for (place, value, said) in table {
-        let mut settings = good();
-        *settings.pointer_mut(place).expect("it is there") = value;
-        assert_eq!(check(&settings).expect_err(place).to_string(), said);
+    for (pointer, value, message) in table {
+        let mut settings = valid_settings();
+        *settings.pointer_mut(pointer).expect("the pointer leads to a value") = value;
+        assert_eq!(check(&settings).expect_err(pointer).to_string(), message);
     }
-    let mut unnamed = good();
+    let mut unnamed = valid_settings();
     unnamed["services"][0].as_object_mut().expect("an object").remove("name");
-    assert_eq!(check(&unnamed).expect_err("unnamed").to_string(), "services[0].name: is not there");
+    assert_eq!(check(&unnamed).expect_err("unnamed").to_string(), "services[0].name: is missing");
     assert!(check(&json!([])).is_err());
 }
 
-/// What is not told stays so: no figure of any deployment stands in for it.
+/// No default, such as a value of some deployment, replaces a missing setting.
 #[test]
-fn what_is_not_told_is_replaced_by_nothing() {
+fn a_missing_setting_gets_no_default() {
     let bare = json!({"services": [{"name": "query"}]});
     assert_eq!(check(&bare), Ok(()));
-    let site = site(&bare);
+    let site = site_settings(&bare);
     let (limits, rules) = (site.decisions.limits, site.decisions.rules);
     assert_eq!((limits.max_attempts, limits.max_retry_after, site.decisions.retry_delay), (0, 0, 0));
     assert_eq!(
@@ -97,8 +97,9 @@
 }
 
 #[test]
-fn what_reports_tell_of_processors_is_known_from_the_settings() {
-    let of = |report: Value| site(&json!({"services": [{"name": "query"}], "report": report})).decisions;
+fn the_settings_show_whether_reports_cover_processors() {
+    let of =
+        |report: Value| site_settings(&json!({"services": [{"name": "query"}], "report": report})).decisions;
     let unreported = [
         json!({"how": "none", "fields": ["spare", "total"]}),
         json!({"how": "none", "fields": ["spare", "lat_ms"]}),
@@ -112,5 +113,5 @@
             "{field}"
         );
     }
-    assert!(!of(Value::Null).load_unreported, "not told");
+    assert!(!of(Value::Null).load_unreported, "no report settings");
 }
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -253,7 +253,7 @@
 /// Reads the settings from the first message's text.
 pub fn settings(text: &str) -> Result<Settings, Bad> {
     let all = serde_json::from_str(text).map_err(|error| Bad::new("setup", error.to_string()))?;
-    Ok(steprelay_settings::decisions(&all))
+    Ok(steprelay_settings::decision_settings(&all))
 }
 
 /// Appends the line of an action.
