--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! Parsing and writing of single wire lines.
+//! Parsing and formatting of single lines of the simulator's protocol.
 
 use std::fmt::Write;
 use std::str::FromStr;
@@ -11,24 +11,25 @@
 };
 use steprelay_settings::micros;
 
-/// What is wrong with a line: the field and the reason.
+/// An invalid line: the field at fault and the reason.
 #[derive(Debug)]
-pub struct Bad {
+pub struct LineError {
     pub field: &'static str,
-    pub why: String,
+    pub reason: String,
 }
 
-impl Bad {
-    pub fn new(field: &'static str, why: impl Into<String>) -> Self {
-        Bad { field, why: why.into() }
+impl LineError {
+    pub fn new(field: &'static str, reason: impl Into<String>) -> Self {
+        LineError { field, reason: reason.into() }
     }
 }
 
-/// The events that go to a controller.
-pub const EVENTS: [&str; 8] =
+/// Names of the messages that are events for a controller.
+pub const EVENT_NAMES: [&str; 8] =
     ["registry", "order", "ack_first", "attempt_end", "gone", "elapsed", "sampled", "heard"];
 
-/// The values of a line, taken from left to right.
+/// The tab-separated fields of a line, read from left to right. `-` and an empty field mean that the value is
+/// absent.
 pub struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -38,9 +39,9 @@
         Fields { rest: (!values.is_empty()).then_some(values) }
     }
 
-    /// The next value, present or `-`.
-    fn value(&mut self, field: &'static str) -> Result<&'a str, Bad> {
-        let rest = self.rest.ok_or_else(|| Bad::new(field, "missing"))?;
+    /// Reads the next field, which may be absent.
+    fn value(&mut self, field: &'static str) -> Result<&'a str, LineError> {
+        let rest = self.rest.ok_or_else(|| LineError::new(field, "missing"))?;
         let (value, rest) = match rest.split_once('\t') {
             Some((value, rest)) => (value, Some(rest)),
             None => (rest, None),
@@ -49,75 +50,79 @@
         Ok(value)
     }
 
-    pub fn text(&mut self, field: &'static str) -> Result<&'a str, Bad> {
+    /// Reads a field that has to be present.
+    pub fn text(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         let value = self.value(field)?;
         if value.is_empty() || value == "-" {
-            return Err(Bad::new(field, "missing"));
+            return Err(LineError::new(field, "missing"));
         }
         Ok(value)
     }
 
-    fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>, Bad> {
+    fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>, LineError> {
         Ok(Some(self.value(field)?).filter(|value| !value.is_empty() && *value != "-"))
     }
 
-    /// All that is left of the line.
-    pub fn rest(&mut self, field: &'static str) -> Result<&'a str, Bad> {
-        self.rest.take().ok_or_else(|| Bad::new(field, "missing"))
+    /// Returns the rest of the line.
+    pub fn rest(&mut self, field: &'static str) -> Result<&'a str, LineError> {
+        self.rest.take().ok_or_else(|| LineError::new(field, "missing"))
     }
 
-    pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, Bad> {
+    pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, LineError> {
         parse(field, self.text(field)?)
     }
 
-    fn number_or<T: FromStr>(&mut self, field: &'static str, absent: T) -> Result<T, Bad> {
+    fn number_or<T: FromStr>(&mut self, field: &'static str, absent: T) -> Result<T, LineError> {
         self.optional(field)?.map_or(Ok(absent), |value| parse(field, value))
     }
 
-    /// A seed of any sign and size up to 64 bits.
-    pub fn seed(&mut self, field: &'static str) -> Result<u64, Bad> {
+    /// Reads a 64-bit seed, signed or unsigned.
+    pub fn seed(&mut self, field: &'static str) -> Result<u64, LineError> {
         let value: i128 = self.number(field)?;
         Ok(value as u64)
     }
 
-    pub fn time(&mut self, field: &'static str) -> Result<Micros, Bad> {
+    /// Reads a time in milliseconds and returns microseconds.
+    pub fn time(&mut self, field: &'static str) -> Result<Micros, LineError> {
         Ok(micros(self.finite(field)?))
     }
 
-    fn finite(&mut self, field: &'static str) -> Result<f64, Bad> {
+    fn finite(&mut self, field: &'static str) -> Result<f64, LineError> {
         let value: f64 = self.number(field)?;
         if !value.is_finite() {
-            return Err(Bad::new(field, "not a finite number"));
+            return Err(LineError::new(field, "not a finite number"));
         }
         Ok(value)
     }
 
-    fn call(&mut self, field: &'static str) -> Result<CallId, Bad> {
+    /// Reads a call's id of 16 lower-case hexadecimal digits.
+    fn call(&mut self, field: &'static str) -> Result<CallId, LineError> {
         let value = self.text(field)?;
         if value.len() != 16 || !value.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f')) {
-            return Err(Bad::new(field, "not 16 hex digits"));
+            return Err(LineError::new(field, "not 16 lower-case hexadecimal digits"));
         }
-        Ok(CallId(u64::from_str_radix(value, 16).map_err(|error| Bad::new(field, error.to_string()))?))
+        Ok(CallId(u64::from_str_radix(value, 16).map_err(|error| LineError::new(field, error.to_string()))?))
     }
 
-    fn server(&mut self, field: &'static str) -> Result<ServerId, Bad> {
+    fn server(&mut self, field: &'static str) -> Result<ServerId, LineError> {
         Ok(ServerId(self.number(field)?))
     }
 
-    fn flag(&mut self, field: &'static str) -> Result<bool, Bad> {
+    fn flag(&mut self, field: &'static str) -> Result<bool, LineError> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            other => Err(Bad::new(field, format!("'{}' is neither 0 nor 1", other.escape_debug()))),
+            other => Err(LineError::new(field, format!("'{}' is neither 0 nor 1", other.escape_debug()))),
         }
     }
 
-    fn report(&mut self, field: &'static str) -> Result<Report, Bad> {
+    /// Reads a load report. Values with unknown names are ignored.
+    fn report(&mut self, field: &'static str) -> Result<Report, LineError> {
         let mut report = Report::default();
         let Some(pairs) = self.optional(field)? else { return Ok(report) };
         for pair in pairs.split(',') {
             let Some((name, value)) = pair.split_once(':') else {
-                return Err(Bad::new(field, "not name:value pairs"));
+                return Err(LineError::new(field, "not name:value pairs"));
             };
             if let Some(slot) = steprelay_settings::report_slot(&mut report, name) {
                 *slot = Some(parse(field, value)?);
@@ -127,11 +132,14 @@
     }
 }
 
-fn parse<T: FromStr>(field: &'static str, value: &str) -> Result<T, Bad> {
-    value.parse().map_err(|_| Bad::new(field, format!("'{}' is no such number", value.escape_debug())))
+fn parse<T: FromStr>(field: &'static str, value: &str) -> Result<T, LineError> {
+    value
+        .parse()
+        .map_err(|_| LineError::new(field, format!("'{}' is not a valid number", value.escape_debug())))
 }
 
-pub fn entry(fields: &mut Fields) -> Result<Entry, Bad> {
+/// Parses an entry of a server list.
+pub fn parse_entry(fields: &mut Fields) -> Result<Entry, LineError> {
     let server = fields.server("server")?;
     let started = fields.number_or("cameUpMs", 0.0)?;
     fields.optional("generationHw")?;
@@ -142,23 +150,31 @@
         "ready" => Readiness::Ready,
         "draining" => Readiness::Draining,
         "gone" => Readiness::Gone,
-        other => return Err(Bad::new("readiness", format!("unknown state '{}'", other.escape_debug()))),
+        other => {
+            return Err(LineError::new("readiness", format!("unknown readiness '{}'", other.escape_debug())))
+        }
     };
     Ok(Entry { server, started: (started != 0.0).then(|| micros(started)), number, state })
 }
 
-pub fn list_kind(mode: &str) -> Result<ListKind, Bad> {
+/// Parses the kind of a server list.
+pub fn parse_list_kind(mode: &str) -> Result<ListKind, LineError> {
     match mode {
         "changes" => Ok(ListKind::Changes),
         "all" => Ok(ListKind::All),
         "remembered" => Ok(ListKind::Cached),
         "refused" => Ok(ListKind::Failed),
-        other => Err(Bad::new("mode", format!("unknown kind of list '{}'", other.escape_debug()))),
+        other => Err(LineError::new("mode", format!("unknown list mode '{}'", other.escape_debug()))),
     }
 }
 
-/// An event other than a list, from the values behind the instance's name.
-pub fn event<'a>(name: &str, fields: &mut Fields, bytes: &'a mut Vec<u8>) -> Result<Event<'a>, Bad> {
+/// Parses an event other than a server list, from the fields after the instance's name. `bytes` holds the
+/// payload of a peer message.
+pub fn parse_event<'a>(
+    name: &str,
+    fields: &mut Fields,
+    bytes: &'a mut Vec<u8>,
+) -> Result<Event<'a>, LineError> {
     Ok(match name {
         "order" => {
             let id = fields.call("call")?;
@@ -191,9 +207,9 @@
         "attempt_end" => {
             let (call, lag) = (fields.call("call")?, fields.time("lagMs")?);
             let server = fields.server("server")?;
-            let cause = cause(fields.number_or("cause", 0)?);
+            let cause = parse_cause(fields.number_or("cause", 0)?);
             let attempt = fields.number("copy")?;
-            let outcome = outcome(fields.number("rc")?)?;
+            let outcome = parse_outcome(fields.number("rc")?)?;
             let is_final = fields.flag("final")?;
             let report = fields.report("usage")?;
             Event::AttemptEnded(AttemptEnd { call, server, attempt, lag, outcome, cause, is_final, report })
@@ -203,12 +219,12 @@
             "tick" => Timer::Tick,
             nonce => {
                 let id = nonce.strip_prefix("call-").and_then(|id| u64::from_str_radix(id, 16).ok());
-                Timer::Call(CallId(id.ok_or_else(|| Bad::new("nonce", "no timer of this program"))?))
+                Timer::Call(CallId(id.ok_or_else(|| LineError::new("nonce", "not a timer of this program"))?))
             }
         }),
         "sampled" => {
             let lag = fields.time("lagMs")?;
-            let ok = outcome(fields.number("rc")?)? == Outcome::Ok;
+            let ok = parse_outcome(fields.number("rc")?)? == Outcome::Ok;
             Event::ProbeAnswered {
                 server: fields.server("server")?,
                 ok,
@@ -219,14 +235,16 @@
         _ => {
             let from = fields.number("from")?;
             let contents = fields.optional("contents")?.unwrap_or_default();
-            *bytes = STANDARD.decode(contents).map_err(|error| Bad::new("contents", error.to_string()))?;
+            *bytes =
+                STANDARD.decode(contents).map_err(|error| LineError::new("contents", error.to_string()))?;
             Event::PeerMessage { from, bytes }
         }
     })
 }
 
-/// The low four bits are the note; above them a full processor names a wait in milliseconds.
-fn cause(code: u32) -> Cause {
+/// Parses the cause of an outcome. The low four bits are its code; the higher bits are the wait in
+/// milliseconds that a full processor asks for, or 0.
+fn parse_cause(code: u32) -> Cause {
     match code % 16 {
         1 => Cause::NoLine,
         2 => Cause::TurnedBack,
@@ -236,7 +254,7 @@
     }
 }
 
-fn outcome(code: u32) -> Result<Outcome, Bad> {
+fn parse_outcome(code: u32) -> Result<Outcome, LineError> {
     Ok(match code {
         10 => Outcome::Ok,
         20 => Outcome::Error,
@@ -246,17 +264,17 @@
         60 => Outcome::Reset,
         70 => Outcome::Cancelled,
         80 => Outcome::NotSent,
-        other => return Err(Bad::new("rc", format!("unknown outcome {other}"))),
+        other => return Err(LineError::new("rc", format!("unknown outcome {other}"))),
     })
 }
 
-/// Reads the settings from the first message's text.
-pub fn settings(text: &str) -> Result<Settings, Bad> {
-    let all = serde_json::from_str(text).map_err(|error| Bad::new("setup", error.to_string()))?;
+/// Parses the settings in an instance's first message.
+pub fn parse_settings(text: &str) -> Result<Settings, LineError> {
+    let all = serde_json::from_str(text).map_err(|error| LineError::new("setup", error.to_string()))?;
     Ok(steprelay_settings::decision_settings(&all))
 }
 
-/// Appends the line of an action.
+/// Appends the line for an action to `out`.
 pub fn write_action(out: &mut String, node: &str, now: Micros, action: &Action) {
     let millis = |time: Micros| time as f64 / 1000.0;
     let written = match action {
@@ -287,5 +305,5 @@
             writeln!(out, "log\t{node}\tt={:.1}s {text}", now as f64 / 1e6)
         }
     };
-    written.expect("writing to a string");
+    written.expect("writing to a string cannot fail");
 }
--- a/simhost/tests/wire.rs
+++ b/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the wire: what goes in, what comes out, and how bad input ends.
+//! Transcripts of the simulator's protocol: input, output and the handling of invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -17,19 +17,19 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may stop reading at the first bad line.
+    // The adapter may stop reading at the first invalid line.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("the adapter ends")
 }
 
-fn start(node: &str) -> String {
+fn start_instance(node: &str) -> String {
     format!(
         "power_on\t{node}\t51\t{SETUP}\ncensus\t0\t2\nm\t70\t-\t0\t0\t1\t0\tready\n\
          m\t71\t900.5\t0\t1\t1\t1\tready\nregistry\t{node}\tremembered\t4\t0\n"
     )
 }
 
-fn order(node: &str, call: &str) -> String {
+fn call_message(node: &str, call: &str) -> String {
     format!("order\t{node}\t{call}\t1\t0\tline-a\t-\t0\t-\t0\t3000.5\t-1\n")
 }
 
@@ -40,18 +40,18 @@
 }
 
 #[test]
-fn an_empty_batch_gets_its_number_back() {
+fn an_empty_batch_is_acknowledged_with_its_number() {
     assert_eq!(replies("turn\t8412.25\t1\nend\n"), "yield\t1\n");
 }
 
 #[test]
-fn a_call_is_placed_and_a_full_server_redrawn() {
+fn a_call_refused_by_a_full_server_is_sent_to_another() {
     let call = "b5ce98935d3a91c4";
     let text = format!(
         "turn\t90000.25\t7\n{}{}end\nturn\t90010.25\t8\n\
          attempt_end\tnode-3\t{call}\t10.0\t70\t1\t0\t30\t0\tspare:0,total:9,new:3,lat_ms:-1\nend\n",
-        start("node-3"),
-        order("node-3", call)
+        start_instance("node-3"),
+        call_message("node-3", call)
     );
     let replies = replies(&text);
     assert!(replies.contains(&format!("place\tnode-3\t{call}\t70\t93000.75\n")), "{replies}");
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn an_instance_can_start_anew_in_the_same_batch_and_lists_are_taken_in_order() {
+fn an_instance_can_restart_within_a_batch_and_lists_apply_in_order() {
     let text = format!(
         "turn\t90000.25\t7\n{}retire\tnode-3\n{}{}census\t0\t1\nm\t72\t-\t0\t0\t1\t0\tready\n\
          registry\tnode-3\tall\t5\t0\n{}end\n",
-        start("node-3"),
-        start("node-3"),
-        order("node-3", "00000000000000aa"),
-        order("node-3", "00000000000000ab"),
+        start_instance("node-3"),
+        start_instance("node-3"),
+        call_message("node-3", "00000000000000aa"),
+        call_message("node-3", "00000000000000ab"),
     );
     let replies = replies(&text);
     assert!(replies.contains("place\tnode-3\t00000000000000aa\t70\t"), "{replies}");
@@ -75,22 +75,26 @@
 }
 
 #[test]
-fn instances_do_not_depend_on_each_other() {
+fn instances_are_independent() {
     let call = "0000000000000001";
-    let alone = replies(&format!("turn\t90000.25\t1\n{}{}end\n", start("node-2"), order("node-2", call)));
+    let alone = replies(&format!(
+        "turn\t90000.25\t1\n{}{}end\n",
+        start_instance("node-2"),
+        call_message("node-2", call)
+    ));
     let both = replies(&format!(
         "turn\t90000.25\t1\n{}{}{}{}end\n",
-        start("node-1"),
-        start("node-2"),
-        order("node-1", "0000000000000002"),
-        order("node-2", "0000000000000001")
+        start_instance("node-1"),
+        start_instance("node-2"),
+        call_message("node-1", "0000000000000002"),
+        call_message("node-2", "0000000000000001")
     ));
     let own: Vec<&str> = both.lines().filter(|line| !line.contains("node-1")).collect();
     assert_eq!(own, alone.lines().collect::<Vec<_>>());
 }
 
 #[test]
-fn unknown_messages_are_skipped_and_noted_once() {
+fn unknown_messages_are_skipped_and_logged_once() {
     let output = run("turn\t1.0\t1\nweather\tnode-1\tfine\nweather\tnode-1\tfine\nend\n");
     assert!(output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stdout), "yield\t1\n");
@@ -98,24 +102,24 @@
 }
 
 #[test]
-fn bad_input_ends_it_with_one_plain_message() {
-    let started = format!("turn\t90000.25\t1\n{}", start("node-1"));
-    for (bad, line, field) in [
+fn invalid_input_ends_the_adapter_with_one_error_line() {
+    let prefix = format!("turn\t90000.25\t1\n{}", start_instance("node-1"));
+    for (input, line, field) in [
         ("turn\tnoon\t1\n".to_string(), 1, "clock"),
         ("turn\t1.0\n".to_string(), 1, "batch"),
         ("turn\t1.0\t1\ngone\tnode-9\tb5ce98935d3a91c4\n".to_string(), 2, "nodeId"),
         ("turn\t1.0\t1\nretire\tnode-9\n".to_string(), 2, "nodeId"),
         ("turn\t1.0\t1\npower_on\tnode-1\t5\t{\n".to_string(), 2, "setup"),
-        (format!("{started}order\tnode-1\txyz\n"), 7, "call"),
-        (format!("{started}order\tnode-1\tb5ce98935d3a91c4\t1\t0\tline-a\n"), 7, "costGuessMs"),
-        (format!("{started}attempt_end\tnode-1\tb5ce98935d3a91c4\t1\t70\t-\t0\t99\t0\t-\n"), 7, "rc"),
-        (format!("{started}heard\tnode-1\t1\t***\n"), 7, "contents"),
-        (format!("{started}registry\tnode-1\tall\t3\t9\n"), 7, "ref"),
-        (format!("{started}census\t1\t2\nm\t70\t-\t0\t0\t1\t0\tready\nend\n"), 9, "entries"),
+        (format!("{prefix}order\tnode-1\txyz\n"), 7, "call"),
+        (format!("{prefix}order\tnode-1\tb5ce98935d3a91c4\t1\t0\tline-a\n"), 7, "costGuessMs"),
+        (format!("{prefix}attempt_end\tnode-1\tb5ce98935d3a91c4\t1\t70\t-\t0\t99\t0\t-\n"), 7, "rc"),
+        (format!("{prefix}heard\tnode-1\t1\t***\n"), 7, "contents"),
+        (format!("{prefix}registry\tnode-1\tall\t3\t9\n"), 7, "ref"),
+        (format!("{prefix}census\t1\t2\nm\t70\t-\t0\t0\t1\t0\tready\nend\n"), 9, "entries"),
     ] {
-        let output = run(&bad);
+        let output = run(&input);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success(), "{bad:?} was taken");
+        assert!(!output.status.success(), "{input:?} was accepted");
         assert_eq!(message.lines().count(), 1, "{message}");
         assert!(message.contains(&format!("line {line}:")) && message.contains(field), "{message}");
         assert!(!message.contains("panic"));
