--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small stand for one controller: settings, a clock and what was sent.
+//! A test harness for one controller, with example settings, a fake clock and a record of all actions.
 #![allow(dead_code)]
 
 use steprelay_decisions::*;
@@ -6,7 +6,7 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub const FULL: Cause = Cause::ProcessorFull { wait: None };
+pub const PROCESSOR_FULL: Cause = Cause::ProcessorFull { wait: None };
 
 pub fn settings() -> Settings {
     Settings {
@@ -45,11 +45,11 @@
     }
 }
 
-/// The same deployment otherwise: other times, more attempts, no tenants, another ramp and a longer release.
+/// Settings of another deployment, with other set-up targets, warm-up rules and timers and more attempts.
 pub fn other_settings() -> Settings {
     let mut other = settings();
-    for (class, (aim, importance)) in other.classes.iter_mut().zip([(1_700 * MS, 1.0), (800 * MS, 4.0)]) {
-        (class.slo, class.importance, class.mean_hold_time) = (aim, importance, 9 * SECOND);
+    for (class, (slo, importance)) in other.classes.iter_mut().zip([(1_700 * MS, 1.0), (800 * MS, 4.0)]) {
+        (class.slo, class.importance, class.mean_hold_time) = (slo, importance, 9 * SECOND);
     }
     (other.group_size, other.limits.max_attempts, other.over_quota_factor) = (7, 5, 0.0);
     other.rules = Rules {
@@ -63,28 +63,31 @@
     other
 }
 
-/// One whose reports tell nothing of processors.
-pub fn unreported_settings() -> Settings {
+/// Settings of a deployment whose load reports hold nothing about processors.
+pub fn settings_without_load_reports() -> Settings {
     Settings { load_unreported: true, group_size: 60, retry_delay: 200 * MS, ..other_settings() }
 }
 
-pub struct Stand {
+/// A controller with a fake clock.
+pub struct Harness {
     pub now: Micros,
     pub controller: Controller,
+    /// All actions so far.
     pub actions: Vec<Action>,
-    next: u64,
+    last_call: u64,
 }
 
-impl Stand {
+impl Harness {
     pub fn new(settings: Settings, servers: u32) -> Self {
         let now = 77 * SECOND;
-        let mut stand =
-            Stand { now, controller: Controller::new(settings, 5, now), actions: Vec::new(), next: 0 };
+        let mut harness =
+            Harness { now, controller: Controller::new(settings, 5, now), actions: Vec::new(), last_call: 0 };
         let entries: Vec<Entry> = (0..servers).map(|number| entry(number, Readiness::Ready)).collect();
-        stand.event(Event::ServerList { kind: ListKind::Cached, entries: &entries });
-        stand
+        harness.event(Event::ServerList { kind: ListKind::Cached, entries: &entries });
+        harness
     }
 
+    /// Passes an event to the controller and returns its actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
@@ -92,23 +95,30 @@
         actions
     }
 
-    pub fn pass(&mut self, time: Micros) {
+    pub fn advance(&mut self, time: Micros) {
         self.now += time;
     }
 
-    /// A call arrives; returns its id and what was done.
+    /// Sets up a call to a new number; returns its id and the resulting actions.
     pub fn call(&mut self, class: usize, dest: u32) -> (CallId, Vec<Action>) {
-        self.next += 1;
-        let call = Call { called_number: format!("line-{}", self.next), ..call(self.next, class, dest) };
+        self.last_call += 1;
+        let call =
+            Call { called_number: format!("line-{}", self.last_call), ..call(self.last_call, class, dest) };
         let id = call.id;
         (id, self.event(Event::Call(call)))
     }
 
-    pub fn first(&mut self, id: CallId, server: ServerId, lag: Micros) -> Vec<Action> {
+    pub fn answer(&mut self, id: CallId, server: ServerId, lag: Micros) -> Vec<Action> {
         self.event(Event::Answered { call: id, server, attempt: 0, lag })
     }
 
-    pub fn ended(&mut self, id: CallId, server: ServerId, outcome: Outcome, cause: Cause) -> Vec<Action> {
+    pub fn end_attempt(
+        &mut self,
+        id: CallId,
+        server: ServerId,
+        outcome: Outcome,
+        cause: Cause,
+    ) -> Vec<Action> {
         let is_final = outcome == Outcome::Ok;
         let report = Report::default();
         self.event(Event::AttemptEnded(AttemptEnd {
@@ -127,30 +137,31 @@
         self.event(Event::ProbeAnswered { server, ok: true, lag: 0, report })
     }
 
-    /// Sends `count` calls to `dest`, one each `gap`, which stand after `lag`; returns how many went there.
-    pub fn load(&mut self, dest: u32, count: usize, gap: Micros, lag: Micros) -> usize {
-        let mut there = 0;
+    /// Sets up `count` calls to `dest`, one per `gap`, which are answered after `lag`. Returns how many of
+    /// them were sent to `dest`.
+    pub fn send_calls(&mut self, dest: u32, count: usize, gap: Micros, lag: Micros) -> usize {
+        let mut sent_to_dest = 0;
         for _ in 0..count {
             let (id, actions) = self.call(0, dest);
-            if let Some(server) = sent(&actions) {
-                there += usize::from(server == id_of(dest));
-                self.pass(lag);
-                self.first(id, server, lag);
-                self.pass(gap - lag);
+            if let Some(server) = sent_to(&actions) {
+                sent_to_dest += usize::from(server == server_id(dest));
+                self.advance(lag);
+                self.answer(id, server, lag);
+                self.advance(gap - lag);
             } else {
-                self.pass(gap);
+                self.advance(gap);
             }
         }
-        there
+        sent_to_dest
     }
 }
 
-pub fn id_of(number: u32) -> ServerId {
+pub fn server_id(number: u32) -> ServerId {
     ServerId(1000 + number)
 }
 
 pub fn entry(number: u32, state: Readiness) -> Entry {
-    Entry { server: id_of(number), started: None, number, state }
+    Entry { server: server_id(number), started: None, number, state }
 }
 
 pub fn call(id: u64, class: usize, dest: u32) -> Call {
@@ -167,17 +178,20 @@
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+/// Returns the server that an attempt was sent to, if any.
+pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn answered(actions: &[Action]) -> bool {
+/// Whether the call was refused or failed.
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Refuse { .. } | Action::Fail { .. }))
 }
 
-pub fn wait(ms: f64) -> Report {
+/// A load report with the wait at the processor.
+pub fn wait_report(ms: f64) -> Report {
     Report { wait_ms: Some(ms), ..Report::default() }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, as far as they can be read off events and actions.
+//! The five rules for attempts and answers, as far as events and actions show them.
 
 mod common;
 
@@ -8,124 +8,129 @@
 use steprelay_decisions::*;
 
 #[test]
-fn a_call_that_timed_out_is_answered_at_once_and_only_once() {
-    let mut stand = Stand::new(settings(), 1);
-    let (id, actions) = stand.call(0, 0);
-    let server = sent(&actions).expect("sent");
-    stand.pass(3 * SECOND);
-    assert!(answered(&stand.ended(id, server, Outcome::Timeout, Cause::Untold)));
-    stand.pass(SECOND);
-    assert!(stand.ended(id, server, Outcome::Timeout, Cause::Untold).is_empty());
-    assert!(stand.event(Event::Timer(Timer::Call(id))).is_empty());
-    assert!(stand.event(Event::CallerGone { call: id }).is_empty());
+fn a_call_that_timed_out_fails_at_once_and_only_once() {
+    let mut harness = Harness::new(settings(), 1);
+    let (id, actions) = harness.call(0, 0);
+    let server = sent_to(&actions).expect("sent");
+    harness.advance(3 * SECOND);
+    assert!(is_rejected(&harness.end_attempt(id, server, Outcome::Timeout, Cause::Untold)));
+    harness.advance(SECOND);
+    assert!(harness.end_attempt(id, server, Outcome::Timeout, Cause::Untold).is_empty());
+    assert!(harness.event(Event::Timer(Timer::Call(id))).is_empty());
+    assert!(harness.event(Event::CallerGone { call: id }).is_empty());
 }
 
 #[test]
-fn a_full_server_is_followed_by_another_and_then_by_an_answer() {
-    let mut stand = Stand::new(settings(), 2);
-    let (id, actions) = stand.call(0, 0);
-    let first = sent(&actions).expect("sent");
-    let second = sent(&stand.ended(id, first, Outcome::Full, Cause::NoLine)).expect("sent elsewhere");
+fn a_call_refused_by_a_full_server_goes_to_another_and_is_then_refused() {
+    let mut harness = Harness::new(settings(), 2);
+    let (id, actions) = harness.call(0, 0);
+    let first = sent_to(&actions).expect("sent");
+    let second =
+        sent_to(&harness.end_attempt(id, first, Outcome::Full, Cause::NoLine)).expect("sent elsewhere");
     assert_ne!(first, second);
-    let actions = stand.ended(id, second, Outcome::Full, Cause::NoLine);
-    assert!(sent(&actions).is_none() && answered(&actions));
+    let actions = harness.end_attempt(id, second, Outcome::Full, Cause::NoLine);
+    assert!(sent_to(&actions).is_none() && is_rejected(&actions));
 }
 
 #[test]
-fn nothing_goes_to_a_draining_or_missing_server_from_the_notice_on() {
+fn no_set_up_goes_to_a_draining_or_missing_server() {
     for kind in [ListKind::Changes, ListKind::All] {
-        let mut stand = Stand::new(settings(), 2);
-        stand.load(0, 10, 100 * MS, 50 * MS);
+        let mut harness = Harness::new(settings(), 2);
+        harness.send_calls(0, 10, 100 * MS, 50 * MS);
         let draining = [entry(0, Readiness::Draining)];
         let without = [entry(1, Readiness::Ready)];
         let entries = if kind == ListKind::Changes { &draining } else { &without };
-        stand.event(Event::ServerList { kind, entries });
+        harness.event(Event::ServerList { kind, entries });
         for _ in 0..30 {
-            let (id, actions) = stand.call(0, 0);
-            let server = sent(&actions).expect("the other server is there");
-            assert_eq!(server, id_of(1));
-            stand.first(id, server, 0);
-            stand.pass(100 * MS);
+            let (id, actions) = harness.call(0, 0);
+            let server = sent_to(&actions).expect("the other server is ready");
+            assert_eq!(server, server_id(1));
+            harness.answer(id, server, 0);
+            harness.advance(100 * MS);
         }
     }
 }
 
 #[test]
-fn the_release_is_awaited_after_timeout_reset_and_cancel() {
+fn the_retry_delay_is_observed_after_timeout_reset_and_cancel() {
     for outcome in [Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
-        let mut stand = Stand::new(settings(), 2);
-        let (id, actions) = stand.call(0, 0);
-        let server = sent(&actions).expect("sent");
-        stand.pass(200 * MS);
-        assert!(sent(&stand.ended(id, server, outcome, Cause::Untold)).is_none());
-        stand.pass(299 * MS);
-        assert!(sent(&stand.event(Event::Timer(Timer::Call(id)))).is_none());
-        stand.pass(MS);
-        assert!(sent(&stand.event(Event::Timer(Timer::Call(id)))).is_some());
+        let mut harness = Harness::new(settings(), 2);
+        let (id, actions) = harness.call(0, 0);
+        let server = sent_to(&actions).expect("sent");
+        harness.advance(200 * MS);
+        assert!(sent_to(&harness.end_attempt(id, server, outcome, Cause::Untold)).is_none());
+        harness.advance(299 * MS);
+        assert!(sent_to(&harness.event(Event::Timer(Timer::Call(id)))).is_none());
+        harness.advance(MS);
+        assert!(sent_to(&harness.event(Event::Timer(Timer::Call(id)))).is_some());
     }
 }
 
-/// Set-ups that one node sends in 3 s to a server that has just started, of 20 calls a second for it.
-fn sent_to_a_cold_server(stand: &mut Stand, seconds: usize) -> usize {
+/// Offers 20 calls per second for a server that has just started. Returns the number of set-ups sent to it.
+fn sent_to_a_cold_server(harness: &mut Harness, seconds: usize) -> usize {
     let mut count = 0;
     for _ in 0..seconds * 20 {
-        let (id, actions) = stand.call(0, 0);
-        if let Some(server) = sent(&actions) {
-            count += usize::from(server == id_of(0));
-            stand.first(id, server, 0);
+        let (id, actions) = harness.call(0, 0);
+        if let Some(server) = sent_to(&actions) {
+            count += usize::from(server == server_id(0));
+            harness.answer(id, server, 0);
         }
-        stand.pass(50 * MS);
+        harness.advance(50 * MS);
     }
     count
 }
 
 #[test]
-fn a_cold_server_gets_its_part_of_what_it_took_before() {
-    let mut stand = Stand::new(settings(), 2);
-    stand.load(0, 100, 100 * MS, 50 * MS);
-    let cold = [Entry { started: Some(stand.now), ..entry(0, Readiness::Ready) }];
-    stand.event(Event::ServerList { kind: ListKind::Changes, entries: &cold });
-    // It took 10 a second from this node; 0.3 of that is there, and twice as much would push it over.
-    let count = sent_to_a_cold_server(&mut stand, 3);
+fn a_cold_server_gets_a_share_of_its_earlier_throughput() {
+    let mut harness = Harness::new(settings(), 2);
+    harness.send_calls(0, 100, 100 * MS, 50 * MS);
+    let cold = [Entry { started: Some(harness.now), ..entry(0, Readiness::Ready) }];
+    harness.event(Event::ServerList { kind: ListKind::Changes, entries: &cold });
+    // The server took 10 set-ups per second from this node. Now it has 0.3 of that capacity, and twice as
+    // much overloads it.
+    let count = sent_to_a_cold_server(&mut harness, 3);
     assert!((3..=18).contains(&count), "{count}");
 }
 
 #[test]
-fn a_cold_server_of_unknown_pace_gets_a_trickle() {
-    let mut stand = Stand::new(settings(), 1);
-    let cold = [Entry { started: Some(stand.now), ..entry(0, Readiness::Ready) }];
-    stand.event(Event::ServerList { kind: ListKind::Changes, entries: &cold });
-    assert!(sent_to_a_cold_server(&mut stand, 4) <= 3);
+fn a_cold_server_of_unknown_throughput_gets_the_minimum_rate() {
+    let mut harness = Harness::new(settings(), 1);
+    let cold = [Entry { started: Some(harness.now), ..entry(0, Readiness::Ready) }];
+    harness.event(Event::ServerList { kind: ListKind::Changes, entries: &cold });
+    assert!(sent_to_a_cold_server(&mut harness, 4) <= 3);
 }
 
 #[test]
-fn a_restart_is_seen_before_the_list_tells_of_it() {
+fn a_restart_is_detected_before_the_list_shows_it() {
     let lines = |standing: f64| Report {
         free_lines: Some(500.0 - standing),
         total_lines: Some(500.0),
         ..Report::default()
     };
-    let told = |stand: &mut Stand, standing: f64| {
-        let actions = stand.report(id_of(0), lines(standing));
-        stand.pass(SECOND);
+    let reports_restart = |harness: &mut Harness, standing: f64| {
+        let actions = harness.report(server_id(0), lines(standing));
+        harness.advance(SECOND);
         actions.iter().any(|action| matches!(action, Action::Log(_)))
     };
     let settings = || Settings { group_size: 250, ..settings() };
-    let mut stand = Stand::new(settings(), 2);
+    let mut harness = Harness::new(settings(), 2);
     for _ in 0..10 {
-        assert!(!told(&mut stand, 400.0));
+        assert!(!reports_restart(&mut harness, 400.0));
     }
-    assert!(!told(&mut stand, 200.0), "half of the calls cut is no restart");
-    assert_eq!(sent_to_a_cold_server(&mut stand, 1), 20);
-    assert!(told(&mut stand, 5.0), "nearly all of them cut is one, seen by a node that had no call there");
-    assert!(sent_to_a_cold_server(&mut stand, 2) <= 3);
-    // A node that counts one wrong is set right by the lines.
-    told(&mut stand, 300.0);
-    assert_eq!(sent_to_a_cold_server(&mut stand, 1), 20);
+    assert!(!reports_restart(&mut harness, 200.0), "losing half of the calls is not a restart");
+    assert_eq!(sent_to_a_cold_server(&mut harness, 1), 20);
+    assert!(
+        reports_restart(&mut harness, 5.0),
+        "losing nearly all calls is a restart, also to a node without a call there"
+    );
+    assert!(sent_to_a_cold_server(&mut harness, 2) <= 3);
+    // Later line counts correct a false detection.
+    reports_restart(&mut harness, 300.0);
+    assert_eq!(sent_to_a_cold_server(&mut harness, 1), 20);
 }
 
-/// What a legal world may do to a controller, drawn from a seed; panics when a rule is broken.
-fn storm(seed: u64, mut config: Settings) {
+/// Drives a controller with random valid events, drawn from a seed; panics when a rule is broken.
+fn run_random_events(seed: u64, mut config: Settings) {
     let mut random = seed;
     let mut below = move |limit: u64| {
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -136,28 +141,30 @@
     config.limits.max_retry_after = 2 * SECOND;
     config.retry_delay = [0, 200 * MS, config.retry_delay][below(3) as usize];
     config.t1 = [0, config.t1][below(2) as usize];
-    let release = config.retry_delay;
-    let attempts = config.limits.max_attempts;
+    let retry_delay = config.retry_delay;
+    let max_attempts = config.limits.max_attempts;
     let servers = 1 + below(4) as u32;
-    let mut stand = Stand::new(config, servers);
+    let mut harness = Harness::new(config, servers);
 
     #[derive(Default)]
-    struct Seen {
-        until: Micros,
-        out: Option<(ServerId, u32)>,
-        sends: u32,
-        stands: bool,
-        free_at: Micros,
-        answers: u32,
-        over: bool,
+    struct CallState {
+        deadline: Micros,
+        /// The current attempt.
+        attempt: Option<(ServerId, u32)>,
+        attempts: u32,
+        is_established: bool,
+        /// No attempt may be sent before this time.
+        not_before: Micros,
+        rejections: u32,
+        is_over: bool,
     }
-    let mut calls: BTreeMap<CallId, Seen> = BTreeMap::new();
-    let mut barred: BTreeMap<ServerId, bool> = BTreeMap::new();
+    let mut calls: BTreeMap<CallId, CallState> = BTreeMap::new();
+    let mut not_ready: BTreeMap<ServerId, bool> = BTreeMap::new();
     let mut timers: Vec<(Micros, Timer)> = Vec::new();
-    let mut next = 1u64;
+    let mut next_id = 1u64;
     for _ in 0..3_000 {
-        stand.pass(5 * MS * below(4) as Micros);
-        let now = stand.now;
+        harness.advance(5 * MS * below(4) as Micros);
+        let now = harness.now;
         let mut events: Vec<Event> = Vec::new();
         timers.retain(|&(at, timer)| {
             if at <= now {
@@ -165,16 +172,16 @@
             }
             at > now
         });
-        let mut fate: Vec<CallId> = Vec::new();
-        for (id, seen) in &calls {
-            let late = seen.until <= now && !seen.stands;
-            if seen.out.is_some() && (late || below(12) == 0) {
-                fate.push(*id);
+        let mut ending: Vec<CallId> = Vec::new();
+        for (id, state) in &calls {
+            let late = state.deadline <= now && !state.is_established;
+            if state.attempt.is_some() && (late || below(12) == 0) {
+                ending.push(*id);
             }
         }
-        for id in fate {
-            let seen = calls.get_mut(&id).expect("listed");
-            let (server, attempt) = seen.out.expect("out");
+        for id in ending {
+            let state = calls.get_mut(&id).expect("listed");
+            let (server, attempt) = state.attempt.expect("an attempt");
             let wait = below(3_000) as f64 - 1.0;
             let report = Report { wait_ms: Some(wait), queued: Some(f64::NAN), ..Report::default() };
             let mut end = |outcome, cause, is_final| {
@@ -189,32 +196,36 @@
                     report,
                 }));
             };
-            if !seen.stands && seen.until <= now {
-                end(Outcome::Timeout, Cause::Untold, seen.over);
-                seen.free_at = now + release;
-                seen.out = None;
-            } else if seen.stands {
+            if !state.is_established && state.deadline <= now {
+                end(Outcome::Timeout, Cause::Untold, state.is_over);
+                state.not_before = now + retry_delay;
+                state.attempt = None;
+            } else if state.is_established {
                 end(if below(3) == 0 { Outcome::Reset } else { Outcome::Ok }, Cause::Untold, true);
-                seen.out = None;
-                seen.over = true;
+                state.attempt = None;
+                state.is_over = true;
             } else {
                 match below(6) {
-                    0 => end(Outcome::Full, [Cause::NoLine, FULL][below(2) as usize], seen.over),
-                    1 => end(Outcome::ConnectFailed, Cause::Untold, seen.over),
-                    2 => {
-                        end(Outcome::Error, [Cause::Untold, Cause::NumberBusy][below(2) as usize], seen.over)
+                    0 => {
+                        end(Outcome::Full, [Cause::NoLine, PROCESSOR_FULL][below(2) as usize], state.is_over)
                     }
+                    1 => end(Outcome::ConnectFailed, Cause::Untold, state.is_over),
+                    2 => end(
+                        Outcome::Error,
+                        [Cause::Untold, Cause::NumberBusy][below(2) as usize],
+                        state.is_over,
+                    ),
                     3 => {
-                        end(Outcome::Reset, Cause::Untold, seen.over);
-                        seen.free_at = now + release;
+                        end(Outcome::Reset, Cause::Untold, state.is_over);
+                        state.not_before = now + retry_delay;
                     }
                     _ => {
                         events.push(Event::Answered { call: id, server, attempt, lag: 40 * MS });
-                        seen.stands = true;
+                        state.is_established = true;
                         continue;
                     }
                 }
-                seen.out = None;
+                state.attempt = None;
             }
         }
         for _ in 0..below(3) {
@@ -226,11 +237,11 @@
                 tenant: below(2) as usize,
                 called_number: format!("line-{}", below(20)),
                 is_redial: below(5) == 0,
-                ..call(next, class, dest)
+                ..call(next_id, class, dest)
             };
-            calls.insert(call.id, Seen { until: now + remaining, ..Seen::default() });
+            calls.insert(call.id, CallState { deadline: now + remaining, ..CallState::default() });
             events.push(Event::Call(call));
-            next += 1;
+            next_id += 1;
         }
         let changed;
         if below(60) == 0 {
@@ -242,67 +253,73 @@
         }
         for event in events {
             if let Event::ServerList { entries, .. } = &event {
-                barred.insert(entries[0].server, entries[0].state != Readiness::Ready);
+                not_ready.insert(entries[0].server, entries[0].state != Readiness::Ready);
             }
-            for action in stand.event(event) {
+            for action in harness.event(event) {
                 match action {
                     Action::Send { call, server, stop_at } => {
-                        let seen = calls.get_mut(&call).expect("known call");
-                        assert!(seen.out.is_none(), "two attempts out");
-                        assert!(!seen.stands && !seen.over && seen.answers == 0, "sent after the answer");
-                        assert!(now >= seen.free_at, "sent before the release");
-                        assert_ne!(barred.get(&server), Some(&true), "sent to a draining server");
-                        assert!(stop_at <= seen.until && seen.sends < attempts);
-                        seen.out = Some((server, seen.sends));
-                        seen.sends += 1;
+                        let state = calls.get_mut(&call).expect("known call");
+                        assert!(state.attempt.is_none(), "two concurrent attempts");
+                        assert!(
+                            !state.is_established && !state.is_over && state.rejections == 0,
+                            "sent after the final answer"
+                        );
+                        assert!(now >= state.not_before, "sent before the end of the retry delay");
+                        assert_ne!(not_ready.get(&server), Some(&true), "sent to a draining server");
+                        assert!(stop_at <= state.deadline && state.attempts < max_attempts);
+                        state.attempt = Some((server, state.attempts));
+                        state.attempts += 1;
                     }
                     Action::Refuse { call, .. } | Action::Fail { call } => {
-                        let seen = calls.get_mut(&call).expect("known call");
-                        assert!(seen.out.is_none() && !seen.stands, "answered with an attempt out");
-                        assert!(now <= seen.until + 20 * MS, "answered too late");
-                        seen.answers += 1;
-                        seen.over = true;
-                        assert_eq!(seen.answers, 1, "two answers");
+                        let state = calls.get_mut(&call).expect("known call");
+                        assert!(
+                            state.attempt.is_none() && !state.is_established,
+                            "rejected during an attempt or after the answer"
+                        );
+                        assert!(now <= state.deadline + 20 * MS, "rejected after the deadline");
+                        state.rejections += 1;
+                        state.is_over = true;
+                        assert_eq!(state.rejections, 1, "rejected twice");
                     }
                     Action::SetTimer { timer, after } => timers.push((now + after.max(1), timer)),
                     Action::Cancel { call, attempt } => {
-                        let seen = calls.get_mut(&call).expect("known call");
-                        assert!(attempt < seen.sends, "cancelled what was never sent");
+                        let state = calls.get_mut(&call).expect("known call");
+                        assert!(attempt < state.attempts, "cancelled an attempt that was never sent");
                     }
                     _ => {}
                 }
             }
         }
     }
-    let last = stand.now;
-    for (id, seen) in &calls {
-        let owed = !seen.over && !seen.stands && seen.out.is_none();
-        assert!(!owed || seen.until > last, "{id:?} was never answered");
+    let end = harness.now;
+    for (id, state) in &calls {
+        let is_unanswered = !state.is_over && !state.is_established && state.attempt.is_none();
+        assert!(!is_unanswered || state.deadline > end, "{id:?} was never answered");
     }
 }
 
 #[test]
-fn the_rules_hold_in_storms() {
-    let kinds: [(fn() -> Settings, u64); 3] =
-        [(settings, 40), (other_settings, 15), (unreported_settings, 15)];
-    for (kind, seeds) in kinds {
-        (0..seeds).for_each(|seed| storm(seed, kind()));
+fn the_rules_hold_for_random_events() {
+    let deployments: [(fn() -> Settings, u64); 3] =
+        [(settings, 40), (other_settings, 15), (settings_without_load_reports, 15)];
+    for (settings, seeds) in deployments {
+        (0..seeds).for_each(|seed| run_random_events(seed, settings()));
     }
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut stand = Stand::new(settings(), 3);
+        let mut harness = Harness::new(settings(), 3);
         for step in 0..200 {
-            let (id, actions) = stand.call(step % 2, step as u32 % 3);
-            stand.pass(30 * MS);
-            if let Some(server) = sent(&actions) {
-                stand.report(server, wait(step as f64 * 7.0 % 900.0));
-                stand.first(id, server, 30 * MS);
+            let (id, actions) = harness.call(step % 2, step as u32 % 3);
+            harness.advance(30 * MS);
+            if let Some(server) = sent_to(&actions) {
+                harness.report(server, wait_report(step as f64 * 7.0 % 900.0));
+                harness.answer(id, server, 30 * MS);
             }
         }
-        stand.actions
+        harness.actions
     };
     assert_eq!(run(), run());
 }
