--- a/agent/src/config.rs
+++ b/agent/src/config.rs
@@ -177,7 +177,7 @@
 
     fn from_raw(raw: RawConfig) -> Result<Self, Wrong> {
         steprelay_settings::check(&raw.settings)?;
-        let site = steprelay_settings::site(&raw.settings);
+        let site = steprelay_settings::site_settings(&raw.settings);
         if site.class_names.is_empty() {
             return Err(wrong("settings.services", "no class of call is named"));
         }
@@ -243,7 +243,7 @@
         }
     }
     let servers = servers.into_values().filter(|(entry, _)| entry.state != Readiness::Gone).collect();
-    Ok(Known { source: ListSource::Discovery, kind: ListKind::Remembered, last: raw.rev, servers })
+    Ok(Known { source: ListSource::Discovery, kind: ListKind::Cached, last: raw.rev, servers })
 }
 
 #[cfg(test)]
--- a/core/src/call_state.rs
+++ b/core/src/call_state.rs
@@ -215,7 +215,7 @@
         for call in calls {
             if let Some(pending) = self.pending.get(call) {
                 let in_flight = pending.in_flight;
-                self.decide(now, Event::Gone { call: *call });
+                self.decide(now, Event::CallerGone { call: *call });
                 if let Some(attempt) = in_flight {
                     self.cancel(now, *call, attempt.number);
                 }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -448,7 +448,7 @@
     /// Applies changes of the server list of one source, or a full list.
     pub fn update_servers(&mut self, now: Micros, source: ListSource, kind: ListKind, entries: &[Entry]) {
         let (changes, ended) = self.route.merge(source, kind, entries);
-        self.decide(now, Event::List { kind: ListKind::Changes, entries: &changes });
+        self.decide(now, Event::ServerList { kind: ListKind::Changes, entries: &changes });
         for (server, before) in ended {
             self.server_process_ended(now, server, before);
         }
@@ -460,7 +460,7 @@
     pub fn set_held_servers(&mut self, now: Micros, servers: &[ServerId]) {
         let changes = self.route.set_held(servers);
         if !changes.is_empty() {
-            self.decide(now, Event::List { kind: ListKind::Changes, entries: &changes });
+            self.decide(now, Event::ServerList { kind: ListKind::Changes, entries: &changes });
         }
     }
 
@@ -488,12 +488,12 @@
 
     /// Passes on the load figures that a server reported.
     pub fn report(&mut self, now: Micros, server: ServerId, report: Report) {
-        self.decide(now, Event::Probed { server, ok: true, lag: 0, report });
+        self.decide(now, Event::ProbeAnswered { server, ok: true, lag: 0, report });
     }
 
     /// Passes on the outcome of a probe; `lag`: the time until the server answered it.
     pub fn probed(&mut self, now: Micros, server: ServerId, ok: bool, lag: Micros, report: Report) {
-        self.decide(now, Event::Probed { server, ok, lag, report });
+        self.decide(now, Event::ProbeAnswered { server, ok, lag, report });
     }
 
     /// Passes an event to the decisions and carries out the actions that follow, including those that the
@@ -518,7 +518,7 @@
                 Action::Probe { server } => self.effects.push(Effect::Probe { server }),
                 Action::Log(text) => self.effects.push(Effect::Log(text)),
                 // The server list arrives unasked over sockets, and call agents cannot reach each other.
-                Action::Watch | Action::Tell { .. } => {}
+                Action::WatchServerList | Action::SendToPeer { .. } => {}
             }
         }
     }
--- a/core/src/relay.rs
+++ b/core/src/relay.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use steprelay_decisions::{CallId, Cause, End, Event, Micros, Outcome, Report, ServerId};
+use steprelay_decisions::{AttemptEnd, CallId, Cause, Event, Micros, Outcome, Report, ServerId};
 
 use super::accounting::CallEnd;
 use super::send::Attempt;
@@ -159,7 +159,7 @@
         self.clients.call_established(client);
         self.effects.push(Effect::Answer { client, call, description });
         let lag = now - attempt.sent;
-        self.decide(now, Event::First { call, server, attempt: attempt.number, lag });
+        self.decide(now, Event::Answered { call, server, attempt: attempt.number, lag });
     }
 
     /// A server refused a set-up or released a call.
@@ -181,7 +181,7 @@
                 Outcome::Error if note == Cause::Untold && !proven => Cause::Unproven,
                 _ => note,
             };
-            return self.end_attempt(now, End { cause: note, report, ..end });
+            return self.end_attempt(now, AttemptEnd { cause: note, report, ..end });
         }
         let established =
             self.established.get(call).filter(|established| established.attempt.server == server);
@@ -295,19 +295,19 @@
         report: Report,
     ) {
         self.accounting.call_released(call, established.attempt.server, outcome);
-        let end = End { last: true, report, ..established.attempt.end(now, call, outcome) };
+        let end = AttemptEnd { is_final: true, report, ..established.attempt.end(now, call, outcome) };
         self.report_end(now, established, end);
     }
 
     /// Removes a call that now belongs to another member.
     pub(super) fn hand_off_established(&mut self, now: Micros, call: CallId, established: EstablishedCall) {
-        let end = End { last: true, ..established.attempt.end(now, call, Outcome::Ok) };
+        let end = AttemptEnd { is_final: true, ..established.attempt.end(now, call, Outcome::Ok) };
         self.report_end(now, established, end);
     }
 
-    fn report_end(&mut self, now: Micros, established: EstablishedCall, end: End) {
+    fn report_end(&mut self, now: Micros, established: EstablishedCall, end: AttemptEnd) {
         established.client.into_iter().for_each(|client| self.clients.call_ended(client));
-        self.decide(now, Event::Ended(end));
+        self.decide(now, Event::AttemptEnded(end));
     }
 
     /// Sends a call its final answer.
--- a/core/src/route.rs
+++ b/core/src/route.rs
@@ -115,7 +115,7 @@
             self.entries.retain(|_, (_, entry)| !is_gone(entry));
         }
         let mut changes = entries.to_vec();
-        if matches!(kind, ListKind::All | ListKind::Remembered) {
+        if matches!(kind, ListKind::All | ListKind::Cached) {
             // A full list names all servers of its source: the ones it leaves out are gone, and are reported
             // as gone.
             let missing = self.entries.values().filter(|(listed_by, entry)| {
--- a/core/src/send.rs
+++ b/core/src/send.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::rc::Rc;
 
-use steprelay_decisions::{CallId, Cause, End, Event, Micros, Outcome, Report, ServerId};
+use steprelay_decisions::{AttemptEnd, CallId, Cause, Event, Micros, Outcome, Report, ServerId};
 
 use super::accounting::CallEnd;
 use super::validate::{answer_deadline, ValidationError};
@@ -38,15 +38,15 @@
 
 impl Attempt {
     /// Its end as an event for the decisions, with the outcome alone.
-    pub fn end(self, now: Micros, call: CallId, outcome: Outcome) -> End {
-        End {
+    pub fn end(self, now: Micros, call: CallId, outcome: Outcome) -> AttemptEnd {
+        AttemptEnd {
             call,
             server: self.server,
             attempt: self.number,
             lag: now - self.sent,
             outcome,
             cause: Cause::Untold,
-            last: false,
+            is_final: false,
             report: Report::default(),
         }
     }
@@ -94,7 +94,7 @@
                 if !self.lifecycle.accepts_set_up(arrival_time(now, polled), answer_deadline(&request))
                     || self.lacks_replicas() =>
             {
-                Verdict::Refused { wait: self.site.decisions.limits.told_wait(DRAIN_RETRY_AFTER) }
+                Verdict::Refused { wait: self.site.decisions.limits.capped_retry_after(DRAIN_RETRY_AFTER) }
             }
             Ok(call) if self.admission.admit(&request, self.clients.open(client)) => {
                 let pending = PendingCall {
@@ -151,7 +151,7 @@
     /// Sends a set-up, unless that would break a rule: then the attempt counts as never sent.
     pub(super) fn send(&mut self, now: Micros, call: CallId, server: ServerId, stop_at: Micros) {
         let limits = &self.site.decisions.limits;
-        let max_attempts = limits.attempts.max(1);
+        let max_attempts = limits.max_attempts.max(1);
         let is_ready = self.route.is_ready(server);
         let Some(pending) = self.pending.get_mut(&call) else {
             self.accounting.record_breach(Breach::SentWhenOver);
@@ -172,12 +172,12 @@
         pending.attempts += 1;
         if self.clients.is_unreachable(pending.client) {
             self.send_final_answer(now, call, Verdict::Failed);
-            self.decide(now, Event::Gone { call });
-            return self.decide(now, Event::Ended(attempt.end(now, call, Outcome::Moot)));
+            self.decide(now, Event::CallerGone { call });
+            return self.decide(now, Event::AttemptEnded(attempt.end(now, call, Outcome::NotSent)));
         }
         if let Some(breach) = breach {
             self.accounting.record_breach(breach);
-            self.decide(now, Event::Ended(attempt.end(now, call, Outcome::Moot)));
+            self.decide(now, Event::AttemptEnded(attempt.end(now, call, Outcome::NotSent)));
             return;
         }
         let stop_at = stop_at.min(pending.answer_deadline);
@@ -212,16 +212,16 @@
     }
 
     /// Records the end of an attempt of a call that is not established.
-    pub(super) fn end_attempt(&mut self, now: Micros, end: End) {
+    pub(super) fn end_attempt(&mut self, now: Micros, end: AttemptEnd) {
         self.accounting.attempt_unanswered(end.server, end.outcome);
         if let Some(pending) = self.pending.get_mut(&end.call) {
             pending.in_flight = None;
             if matches!(end.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-                pending.not_before = now + self.site.decisions.release;
+                pending.not_before = now + self.site.decisions.retry_delay;
             }
             self.publish_state(end.call, None, None);
         }
-        self.decide(now, Event::Ended(end));
+        self.decide(now, Event::AttemptEnded(end));
     }
 
     /// Handles the deadline of the final answer. The decisions have normally answered by now; this covers a
@@ -234,7 +234,7 @@
         if self.pending.contains_key(&call) {
             self.accounting.record_breach(Breach::HeldToDeadline);
             self.send_final_answer(now, call, Verdict::Failed);
-            self.decide(now, Event::Gone { call });
+            self.decide(now, Event::CallerGone { call });
         }
     }
 
@@ -248,10 +248,10 @@
                 self.accounting.attempt_unanswered(server, Outcome::Cancelled);
                 self.publish_state(call, None, None);
             }
-            let wait = self.site.decisions.limits.told_wait(DRAIN_RETRY_AFTER);
+            let wait = self.site.decisions.limits.capped_retry_after(DRAIN_RETRY_AFTER);
             let verdict = if attempts == 0 { Verdict::Refused { wait } } else { Verdict::Failed };
             self.send_final_answer(now, call, verdict);
-            self.decide(now, Event::Gone { call });
+            self.decide(now, Event::CallerGone { call });
         }
     }
 
@@ -261,7 +261,7 @@
         let Some(pending) = self.pending.get(&call) else { return };
         let in_flight = pending.in_flight;
         self.accounting.counts.abandoned += 1;
-        self.decide(now, Event::Gone { call });
+        self.decide(now, Event::CallerGone { call });
         // If the settings do not permit cancels, the decisions request none; the attempt is ended here all
         // the same.
         if let Some(attempt) = in_flight {
@@ -306,7 +306,7 @@
         let outcome = match reason {
             NotSent::Unreachable => Outcome::ConnectFailed,
             // Not a failure of the server: counting it as one would keep all set-ups away from the server.
-            NotSent::QueueFull | NotSent::Withdrawn => Outcome::Moot,
+            NotSent::QueueFull | NotSent::Withdrawn => Outcome::NotSent,
         };
         let in_flight = self.pending.get(&call).and_then(|pending| pending.in_flight);
         if let Some(attempt) = in_flight.filter(|attempt| attempt.server == server) {
