--- a/agent/src/fleet/command.rs
+++ b/agent/src/fleet/command.rs
@@ -319,7 +319,7 @@
 
 /// Whether the machine of a file may be lost with its disk, by what it writes, and else why not.
 fn may_be_lost(rows: &[CopyRow], config: &FleetConfig) -> String {
-    let copies = config.copies.map_or(0, |copies| copies.limits.copies);
+    let copies = config.copies.map_or(0, |copies| copies.limits.replicas);
     let own = || rows.iter().filter(|row| row.writer == config.name && row.records > 0);
     let lacking: u64 = own().map(|row| row.under_copied).sum();
     match own().map(|row| row.holders.len()).min() {
--- a/agent/src/fleet/config.rs
+++ b/agent/src/fleet/config.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
-use steprelay_copies::writer::Limits as CopyLimits;
+use steprelay_copies::primary::ReplicationPolicy;
 use steprelay_fleet::order::Limits;
 use steprelay_fleet::words::{MAJOR, MINOR};
 use steprelay_fleet::Millis;
@@ -56,7 +56,7 @@
 /// The table `[copies]`, checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopiesConfig {
-    pub limits: CopyLimits,
+    pub limits: ReplicationPolicy,
     /// Callers hear that their calls stand once enough others hold that; else at once.
     pub after_copies: bool,
     /// Set-ups are refused while too few others could take copies; else they are served without.
@@ -184,19 +184,19 @@
     }
 
     fn copies(&self, raw: &RawCopies) -> Result<CopiesConfig, FleetConfigError> {
-        let (copies, needed) = (*raw.copies.get_ref(), *raw.needed.get_ref());
-        if !(1..=MOST_COPIES).contains(&copies) {
+        let (replicas, required_acks) = (*raw.copies.get_ref(), *raw.needed.get_ref());
+        if !(1..=MOST_COPIES).contains(&replicas) {
             return Err(self.wrong(raw.copies.span(), "copies.copies", format!("1 to {MOST_COPIES}")));
         }
-        if needed > copies {
+        if required_acks > replicas {
             return Err(self.wrong(
                 raw.needed.span(),
                 "copies.needed",
-                format!("more than the copies, {copies}"),
+                format!("more than the copies, {replicas}"),
             ));
         }
         let after_copies = self.either(&raw.answer, "copies.answer", "after-copies", "at-once")?;
-        if after_copies && needed == 0 {
+        if after_copies && required_acks == 0 {
             let why = "0 waits for nobody; answer = \"at-once\" says so";
             return Err(self.wrong(raw.needed.span(), "copies.needed", why));
         }
@@ -205,7 +205,7 @@
             return Err(self.wrong(directory.span(), "copies.directory", why));
         }
         Ok(CopiesConfig {
-            limits: CopyLimits { copies, needed },
+            limits: ReplicationPolicy { replicas, required_acks },
             after_copies,
             refuse_short: self.either(&raw.when_short, "copies.when_short", "refuse", "serve")?,
         })
@@ -341,7 +341,7 @@
         assert_eq!(config.limits, Limits { most_out: 1, reserve: 1.0, calm_ms: 2_500 });
         assert_eq!(config.copies, None, "off without its table");
         let config = FleetConfig::read(Path::new("n1.toml"), &format!("{GOOD}[copies]\n")).expect("defaults");
-        let limits = CopyLimits { copies: 2, needed: 1 };
+        let limits = ReplicationPolicy { replicas: 2, required_acks: 1 };
         assert_eq!(config.copies, Some(CopiesConfig { limits, after_copies: true, refuse_short: false }));
         let short = GOOD.split("[work]").next().expect("a part");
         let config = FleetConfig::read(Path::new("n1.toml"), short).expect("defaults");
--- a/agent/src/fleet/copies.rs
+++ b/agent/src/fleet/copies.rs
@@ -4,8 +4,10 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use steprelay_copies::member::{Authority, Figures, Known, Member, News, Other};
-use steprelay_copies::words::Word;
+use steprelay_copies::member::{
+    ClusterView, Member, PeerMember, ReplicationEvent, ReplicationStats, StreamOwner,
+};
+use steprelay_copies::messages::Message;
 use steprelay_copies::StreamId;
 use steprelay_fleet::node::Node;
 use steprelay_fleet::swim;
@@ -24,9 +26,9 @@
     member: Member,
     lease: Arc<Lease>,
     notes: mpsc::Receiver<Note>,
-    news: mpsc::Sender<News>,
-    /// News that found no room yet.
-    waiting: VecDeque<News>,
+    news: mpsc::Sender<ReplicationEvent>,
+    /// Events that the channel had no capacity for yet.
+    waiting: VecDeque<ReplicationEvent>,
     /// Somebody waits for what is noted to be held; else it goes out with the next tick, many notes in one
     /// word.
     urgent: bool,
@@ -40,7 +42,7 @@
         me: &swim::Member,
         lease: Arc<Lease>,
         notes: mpsc::Receiver<Note>,
-        news: mpsc::Sender<News>,
+        news: mpsc::Sender<ReplicationEvent>,
     ) -> Self {
         let member = Member::new(&me.name, &me.zone, me.boot, config.limits);
         let urgent = config.after_copies;
@@ -57,14 +59,14 @@
         let mut next = Some(first);
         for _ in 0..AT_ONCE {
             match next {
-                Some(Note::Promise(call, promise)) => self.member.note(call.0, promise.map(record)),
+                Some(Note::Promise(call, promise)) => self.member.record_change(call.0, promise.map(record)),
                 Some(Note::All(all)) => {
                     let records = all.into_iter().map(|(call, promise)| (call.0, record(promise)));
-                    self.member.replace(records.collect());
+                    self.member.replace_all(records.collect());
                 }
-                Some(Note::PassedOn(call)) => self.member.passed_on(now, call.0),
-                Some(Note::Acknowledged(call)) => self.member.acknowledged(call.0),
-                Some(Note::Given(call)) => self.member.given(now, call.0),
+                Some(Note::PassedOn(call)) => self.member.announce_release(now, call.0),
+                Some(Note::Acknowledged(call)) => self.member.release_acknowledged(call.0),
+                Some(Note::Given(call)) => self.member.release_delivered(now, call.0),
                 Some(Note::Confirmed(question)) => self.member.confirm(question),
                 Some(Note::Relinquished(calls)) => {
                     self.member.relinquish(now, calls.into_iter().map(|call| call.0).collect());
@@ -85,44 +87,44 @@
 
     pub fn received(&mut self, now: Millis, from: &swim::Member, bytes: &[u8]) {
         // Spoilt words settle nothing.
-        if let Ok(word) = postcard::from_bytes::<Word>(bytes) {
-            self.member.received(now, &from.name, from.boot, word);
+        if let Ok(message) = postcard::from_bytes::<Message>(bytes) {
+            self.member.handle_message(now, &from.name, from.boot, message);
         }
     }
 
     /// Time has passed: what the fleet knows by now counts.
     pub fn tick(&mut self, now: Millis, node: &mut Node) {
         let agreed = node.agreed();
-        let authorities = agreed.streams.iter().map(|(stream, by)| Authority {
+        let stream_owners = agreed.streams.iter().map(|(stream, by)| StreamOwner {
             stream: StreamId(*stream),
             name: by.name.clone(),
             boot: by.boot,
             epoch: by.epoch,
         });
-        let others = node.places().map(|(member, serves)| Other {
+        let peers = node.places().map(|(member, is_serving)| PeerMember {
             name: member.name.clone(),
             zone: member.zone.clone(),
             boot: member.boot,
-            serves,
+            is_serving,
         });
-        let known = Known {
-            leased: node.lease().is_some_and(|until| now < until),
-            others: others.collect(),
-            authorities: authorities.collect(),
+        let view = ClusterView {
+            has_lease: node.lease().is_some_and(|until| now < until),
+            peers: peers.collect(),
+            stream_owners: stream_owners.collect(),
             settled: agreed.settled.iter().copied().map(StreamId).collect(),
         };
-        self.member.tick(now, &known);
-        for (stream, epoch) in self.member.settle(now) {
+        self.member.tick(now, &view);
+        for (stream, epoch) in self.member.streams_to_settle(now) {
             node.settle(now, stream.0, epoch);
         }
-        let writes = self.member.writes().into_iter();
+        let writes = self.member.owned_streams().into_iter();
         let writes = writes.map(|(stream, epoch)| Written { stream: stream.0, epoch });
-        let copies = self.member.holder().copies().filter(|(_, copy)| !copy.records().is_empty());
-        let holds = copies.map(|(stream, copy)| Held {
-            written: Written { stream: stream.0, epoch: copy.epoch() },
-            writer: copy.writer().into(),
-            boot: copy.boot(),
-            number: copy.number(),
+        let replicas = self.member.holder().replicas().filter(|(_, replica)| !replica.records().is_empty());
+        let holds = replicas.map(|(stream, replica)| Held {
+            written: Written { stream: stream.0, epoch: replica.epoch() },
+            writer: replica.primary().into(),
+            boot: replica.boot(),
+            number: replica.sequence(),
         });
         node.copies(writes.collect(), holds.collect());
     }
@@ -130,11 +132,11 @@
     /// Says what is new, and tells the program what came of it.
     pub fn turn(&mut self, now: Millis, node: &mut Node) {
         self.member.poll(now);
-        for (to, word) in self.member.take_words() {
+        for (to, message) in self.member.take_messages() {
             // Nothing that a word holds can fail to be written into memory.
-            node.say_copies(&to, postcard::to_stdvec(&word).unwrap_or_default());
+            node.say_copies(&to, postcard::to_stdvec(&message).unwrap_or_default());
         }
-        while let Some(news) = self.member.take_news() {
+        while let Some(news) = self.member.next_event() {
             self.waiting.push_back(news);
         }
         while let Some(news) = self.waiting.pop_front() {
@@ -145,30 +147,30 @@
         }
         if node.lease() != self.leased {
             self.leased = node.lease();
-            self.lease.set(self.leased.unwrap_or(0), self.member.figures().renounced);
+            self.lease.set(self.leased.unwrap_or(0), self.member.stats().ownership_losses);
         }
     }
 
-    pub fn figures(&self) -> Figures {
-        self.member.figures()
+    pub fn figures(&self) -> ReplicationStats {
+        self.member.stats()
     }
 
     /// A row for each stream that is written or held here.
     pub fn rows(&self) -> Vec<CopyRow> {
-        let written = self.member.written().map(|writer| CopyRow {
-            stream: format!("{:x}", writer.stream().0),
+        let written = self.member.primaries().map(|primary| CopyRow {
+            stream: format!("{:x}", primary.stream().0),
             writer: self.member.name().into(),
-            epoch: writer.epoch(),
-            records: writer.records().len() as u64,
-            holders: writer.holders().map(str::to_string).collect(),
-            under_copied: writer.under_copied() as u64,
+            epoch: primary.epoch(),
+            records: primary.records().len() as u64,
+            holders: primary.holders().map(str::to_string).collect(),
+            under_copied: primary.under_replicated() as u64,
         });
-        let held = self.member.holder().copies().filter(|(_, copy)| copy.number() > 0);
-        let held = held.map(|(stream, copy)| CopyRow {
+        let held = self.member.holder().replicas().filter(|(_, replica)| replica.sequence() > 0);
+        let held = held.map(|(stream, replica)| CopyRow {
             stream: format!("{:x}", stream.0),
-            writer: copy.writer().into(),
-            epoch: copy.epoch(),
-            records: copy.records().len() as u64,
+            writer: replica.primary().into(),
+            epoch: replica.epoch(),
+            records: replica.records().len() as u64,
             holders: vec![self.member.name().into()],
             under_copied: 0,
         });
--- a/agent/src/fleet/mod.rs
+++ b/agent/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use steprelay_copies::member::{Figures as CopyFigures, News};
+use steprelay_copies::member::{ReplicationEvent, ReplicationStats};
 use steprelay_core::duty::State;
 use steprelay_decisions::{Micros, Readiness, ServerId};
 use steprelay_fleet::council::CouncilError;
@@ -192,7 +192,7 @@
 }
 
 /// Tells the owner of the core what comes of copies.
-async fn tell_news(inputs: mpsc::Sender<Input>, mut comes: mpsc::Receiver<News>) {
+async fn tell_news(inputs: mpsc::Sender<Input>, mut comes: mpsc::Receiver<ReplicationEvent>) {
     while let Some(news) = comes.recv().await {
         if inputs.send(Input::Copies(news)).await.is_err() {
             return;
@@ -217,7 +217,7 @@
     mut wants: watch::Receiver<Wanted>,
     mut done: Wanted,
     status: watch::Sender<Status>,
-    shown: watch::Receiver<(Figures, Option<CopyFigures>)>,
+    shown: watch::Receiver<(Figures, Option<ReplicationStats>)>,
     capacity_milli: u64,
 ) {
     let mut look = interval(LOOK);
--- a/agent/src/fleet/owner.rs
+++ b/agent/src/fleet/owner.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use steprelay_copies::member::Figures as CopyFigures;
+use steprelay_copies::member::ReplicationStats;
 use steprelay_fleet::agreed::{Command, CommandId, Refusal};
 use steprelay_fleet::node::{Effect, Figures, Node};
 use steprelay_fleet::swim::Health;
@@ -43,7 +43,7 @@
 pub struct Ends {
     pub status: watch::Receiver<Status>,
     pub wanted: watch::Sender<Wanted>,
-    pub figures: watch::Sender<(Figures, Option<CopyFigures>)>,
+    pub figures: watch::Sender<(Figures, Option<ReplicationStats>)>,
     pub copies: Option<Copies>,
     /// Ends with its sender: the program stops.
     pub stop: oneshot::Receiver<()>,
--- a/agent/src/net/copies.rs
+++ b/agent/src/net/copies.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use steprelay_copies::member::Question;
+use steprelay_copies::member::PeerRequest;
 use steprelay_core::{ClientId, Effect, Promise};
 use steprelay_decisions::{CallId, Micros};
 use tokio::sync::mpsc;
@@ -77,7 +77,7 @@
     /// By the number of the note that has to be covered.
     order: VecDeque<(u64, CallId)>,
     /// Of other members, to be confirmed once what precedes them was carried out.
-    questions: Vec<Question>,
+    questions: Vec<PeerRequest>,
     /// Releases that came, until the notes of them are numbered; and then by that number.
     came: Vec<(LinkId, CallId)>,
     heard: VecDeque<(u64, LinkId, CallId)>,
@@ -149,7 +149,7 @@
     }
 
     /// Another member waits for what is to be said of calls that it was told of: it goes out behind that.
-    pub fn confirm(&mut self, question: Question) {
+    pub fn confirm(&mut self, question: PeerRequest) {
         self.questions.push(question);
     }
 
--- a/agent/src/net/owner/replication.rs
+++ b/agent/src/net/owner/replication.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use steprelay_copies::member::{News, Precedence};
+use steprelay_copies::member::{Precedence, ReplicationEvent};
 use steprelay_core::{ClientId, Effect, Promise, Verdict};
 use steprelay_decisions::{CallId, Micros};
 
@@ -121,37 +121,37 @@
         self.give_up(now, unanswered.fail);
     }
 
-    pub(super) fn heard_of_copies(&mut self, now: Micros, news: News) {
+    pub(super) fn heard_of_copies(&mut self, now: Micros, news: ReplicationEvent) {
         match news {
-            News::Covered(covered) => {
+            ReplicationEvent::Committed(covered) => {
                 if let Some(copies) = &mut self.copies {
                     copies.covered(covered);
                 }
             }
-            News::Adopt(records) => {
+            ReplicationEvent::TakenOver(records) => {
                 for (call, record) in records {
                     trace::replicated(copies::call(call), format_args!("adopted as {record:?}"));
                     self.core.adopt(now, copies::call(call), copies::promise(record));
                 }
             }
-            News::Handed(changes) => {
+            ReplicationEvent::LateChanges(changes) => {
                 for (call, record) in changes {
                     trace::replicated(copies::call(call), format_args!("handed over as {record:?}"));
                     self.core.handed(now, copies::call(call), record.map(copies::promise));
                 }
             }
-            News::Renounce(calls) => {
+            ReplicationEvent::OwnershipLost(calls) => {
                 let calls: BTreeSet<CallId> = calls.into_iter().map(copies::call).collect();
                 calls.iter().for_each(|call| trace::replicated(*call, "given up to a successor"));
                 self.renounce(now, &calls);
             }
-            News::Relinquished(calls) => {
+            ReplicationEvent::Relinquished(calls) => {
                 let calls: Vec<CallId> = calls.into_iter().map(copies::call).collect();
                 let answers =
                     self.copies.as_mut().map(|copies| copies.relinquished(&calls)).unwrap_or_default();
                 self.give_up(now, answers);
             }
-            News::Over(calls, precedence) => {
+            ReplicationEvent::EndedElsewhere(calls, precedence) => {
                 for call in calls.into_iter().map(copies::call) {
                     trace::replicated(call, "over, as another member says");
                     self.copies.iter_mut().for_each(|copies| copies.over_elsewhere(call));
@@ -161,31 +161,31 @@
                     self.core.over_elsewhere(now, call);
                 }
             }
-            News::Confirm(question) => {
+            ReplicationEvent::Barrier(question) => {
                 if let Some(copies) = &mut self.copies {
                     copies.confirm(question);
                 }
             }
-            News::AllTold(calls) => {
+            ReplicationEvent::AllNotified(calls) => {
                 for call in calls.into_iter().map(copies::call) {
                     trace::replicated(call, "all members were told, and have answered");
                     self.core.release_unclaimed(now, call);
                 }
             }
-            News::LeftTo(calls) => {
+            ReplicationEvent::DelegatedToPeer(calls) => {
                 for call in calls.into_iter().map(copies::call) {
                     trace::replicated(call, "left to the member that has announced it");
                     self.core.yield_unclaimed(call);
                 }
             }
-            News::Given(calls) => {
+            ReplicationEvent::ReleaseDelivered(calls) => {
                 for call in calls.into_iter().map(copies::call) {
                     trace::replicated(call, "over, as the member that told its caller says");
                     self.copies.iter_mut().for_each(|copies| copies.over_elsewhere(call));
                     self.core.given_elsewhere(now, call);
                 }
             }
-            News::Short(short) => {
+            ReplicationEvent::Degraded(short) => {
                 let refuse = self.copies.as_mut().is_some_and(|copies| copies.short(short));
                 self.core.refuse_uncopied(refuse);
             }
--- a/agent/src/net/owner/tests.rs
+++ b/agent/src/net/owner/tests.rs
@@ -7,7 +7,7 @@
 use crate::ports::copies::Lease;
 use crate::ports::ToServer;
 use std::sync::Arc;
-use steprelay_copies::member::News;
+use steprelay_copies::member::ReplicationEvent;
 use steprelay_core::{Bounds, Effect, ReleaseCause, Request, Verdict};
 use steprelay_decisions::{Cause, Report, Settings};
 use steprelay_settings::Site;
@@ -107,7 +107,7 @@
     (owner, inbox, link, to_server, lease, noted)
 }
 
-fn hears(owner: &mut Owner, news: News) {
+fn hears(owner: &mut Owner, news: ReplicationEvent) {
     owner.take(Input::Copies(news));
     owner.look_at_copies();
     owner.carry_out();
@@ -120,18 +120,18 @@
 #[test]
 fn a_caller_hears_that_its_call_stands_once_others_know_and_a_server_that_its_release_was_heard() {
     let (mut owner, mut inbox, link, mut to_server, _) = with_copies();
-    hears(&mut owner, News::Short(false));
+    hears(&mut owner, ReplicationEvent::Degraded(false));
     owner.take(Input::Answered { link, call: CALL, description: "v=1".into() });
     owner.carry_out();
     assert!(inbox.next_now().is_none(), "nobody else knows that it stands");
-    hears(&mut owner, News::Covered(1));
+    hears(&mut owner, ReplicationEvent::Committed(1));
     assert!(matches!(inbox.next_now(), Some(ToClient::Answer { call: CALL, .. })));
     owner.take(ended(link));
     owner.carry_out();
     owner.look_at_copies();
     assert!(matches!(inbox.next_now(), Some(ToClient::Released { call: CALL, .. })));
     assert_eq!(heard(&mut to_server), 0, "its server would not say it again");
-    hears(&mut owner, News::Covered(2));
+    hears(&mut owner, ReplicationEvent::Committed(2));
     assert_eq!(heard(&mut to_server), 1);
 }
 
@@ -141,10 +141,10 @@
 #[test]
 fn replicas_hear_of_an_acknowledged_release_ahead_of_its_server() {
     let (mut owner, mut inbox, link, mut to_server, _lease, mut notes) = with_noted_copies();
-    hears(&mut owner, News::Short(false));
+    hears(&mut owner, ReplicationEvent::Degraded(false));
     owner.take(Input::Answered { link, call: CALL, description: "v=1".into() });
     owner.carry_out();
-    hears(&mut owner, News::Covered(1));
+    hears(&mut owner, ReplicationEvent::Committed(1));
     owner.take(ended(link));
     owner.carry_out();
     owner.look_at_copies();
@@ -157,7 +157,7 @@
     let noted: Vec<_> = std::iter::from_fn(|| notes.try_recv().ok()).collect();
     assert_eq!(noted, [copies::Note::Acknowledged(CALL), copies::Note::Promise(CALL, None)]);
     assert_eq!(heard(&mut to_server), 0, "a replica may still have it as established");
-    hears(&mut owner, News::Covered(2));
+    hears(&mut owner, ReplicationEvent::Committed(2));
     assert_eq!(heard(&mut to_server), 1);
 }
 
@@ -183,7 +183,7 @@
     ];
     for (case, leaves, sent) in cases {
         let (mut owner, _inbox, _, mut to_server, _) = with_copies();
-        hears(&mut owner, News::Short(false));
+        hears(&mut owner, ReplicationEvent::Degraded(false));
         let (client, now) = (ClientId(1), owner.shared.clock.now());
         owner.take(Input::Offer { client, request: request(CallId(8), now) });
         owner.carry_out();
@@ -194,7 +194,7 @@
         assert_eq!(set_ups(&mut to_server), 0, "{case}: nobody else knows of it");
         leaves(client).into_iter().for_each(|input| owner.take(input));
         owner.carry_out();
-        hears(&mut owner, News::Covered(10));
+        hears(&mut owner, ReplicationEvent::Committed(10));
         assert_eq!(set_ups(&mut to_server), sent, "{case}");
     }
 }
@@ -233,14 +233,14 @@
         owner.look_at_copies();
         owner.take(Input::Answered { link, call: CALL, description: "v=1".into() });
         owner.carry_out();
-        hears(&mut owner, News::Covered(1));
+        hears(&mut owner, ReplicationEvent::Committed(1));
         assert!(inbox.next_now().is_none(), "another may have ended it");
         // What is known of a succession goes before the lease that follows it.
         lease.set(60_000, u64::from(succeeded));
         owner.look_at_copies();
         if succeeded {
             assert!(inbox.next_now().is_none());
-            hears(&mut owner, News::Renounce([CALL.0].into()));
+            hears(&mut owner, ReplicationEvent::OwnershipLost([CALL.0].into()));
             assert!(matches!(
                 inbox.next_now(),
                 Some(ToClient::Final { call: CALL, verdict: Verdict::Failed })
--- a/agent/src/net/owner/tests/failover.rs
+++ b/agent/src/net/owner/tests/failover.rs
@@ -17,7 +17,7 @@
     fn new() -> Self {
         let (owner, callers, link, to_server, lease, notes) = with_noted_copies();
         let mut sleeper = Sleeper { owner, callers, link, to_server, lease, notes };
-        hears(&mut sleeper.owner, News::Short(false));
+        hears(&mut sleeper.owner, ReplicationEvent::Degraded(false));
         sleeper
     }
 
@@ -41,7 +41,7 @@
     }
 
     fn is_succeeded(&mut self) {
-        hears(&mut self.owner, News::Renounce([CALL.0].into()));
+        hears(&mut self.owner, ReplicationEvent::OwnershipLost([CALL.0].into()));
         self.lease.set(60_000, 1);
     }
 
@@ -61,10 +61,10 @@
     sleeper.answered();
     // The answer is an effect that was not carried out when the process fell asleep.
     sleeper.lease.set(1, 0);
-    sleeper.owner.take(Input::Copies(News::Renounce([CALL.0].into())));
+    sleeper.owner.take(Input::Copies(ReplicationEvent::OwnershipLost([CALL.0].into())));
     assert!(sleeper.said().is_empty(), "its successor may have ended it");
     assert!(sleeper.noted(|note| *note == Note::Relinquished(vec![CALL])), "it is asked");
-    hears(&mut sleeper.owner, News::Relinquished(vec![CALL.0]));
+    hears(&mut sleeper.owner, ReplicationEvent::Relinquished(vec![CALL.0]));
     assert!(is_failed(&sleeper.said()));
 }
 
@@ -80,9 +80,9 @@
         sleeper.is_succeeded();
         assert!(sleeper.said().is_empty(), "its successor may have ended it");
         if ended_by_successor {
-            hears(&mut sleeper.owner, News::Given(vec![CALL.0]));
+            hears(&mut sleeper.owner, ReplicationEvent::ReleaseDelivered(vec![CALL.0]));
         }
-        hears(&mut sleeper.owner, News::Relinquished(vec![CALL.0]));
+        hears(&mut sleeper.owner, ReplicationEvent::Relinquished(vec![CALL.0]));
         let said = sleeper.said();
         assert!(if ended_by_successor { said.is_empty() } else { is_failed(&said) }, "{said:?}");
         sleeper.owner.take(ended(sleeper.link));
@@ -128,14 +128,14 @@
         sleeper.wakes();
         sleeper.owner.take(ended(sleeper.link));
         assert!(sleeper.said().is_empty());
-        hears(&mut sleeper.owner, News::Renounce(Default::default()));
+        hears(&mut sleeper.owner, ReplicationEvent::OwnershipLost(Default::default()));
         sleeper.lease.set(60_000, 1);
         assert!(sleeper.said().is_empty(), "its successor may have ended it");
         assert!(sleeper.noted(|note| *note == Note::Relinquished(vec![CALL])), "it is asked");
         if ended_by_successor {
-            hears(&mut sleeper.owner, News::Given(vec![CALL.0]));
+            hears(&mut sleeper.owner, ReplicationEvent::ReleaseDelivered(vec![CALL.0]));
         }
-        hears(&mut sleeper.owner, News::Relinquished(vec![CALL.0]));
+        hears(&mut sleeper.owner, ReplicationEvent::Relinquished(vec![CALL.0]));
         let said = sleeper.said();
         assert!(if ended_by_successor { said.is_empty() } else { is_failed(&said) }, "{said:?}");
     }
@@ -144,9 +144,9 @@
 /// Others have answered what they were asked about the release of the call; how often it is given then.
 fn given_once_asked(sleeper: &mut Sleeper, successor_has_given_it: bool) -> usize {
     if successor_has_given_it {
-        hears(&mut sleeper.owner, News::Given(vec![CALL.0]));
+        hears(&mut sleeper.owner, ReplicationEvent::ReleaseDelivered(vec![CALL.0]));
     }
-    hears(&mut sleeper.owner, News::AllTold(vec![CALL.0]));
+    hears(&mut sleeper.owner, ReplicationEvent::AllNotified(vec![CALL.0]));
     let said = sleeper.said();
     assert!(said.iter().all(|word| matches!(word, ToClient::Released { call: CALL, .. })), "{said:?}");
     said.len()
@@ -159,7 +159,7 @@
         let mut sleeper = Sleeper::new();
         sleeper.answered();
         sleeper.owner.carry_out();
-        hears(&mut sleeper.owner, News::Covered(1));
+        hears(&mut sleeper.owner, ReplicationEvent::Committed(1));
         assert!(matches!(sleeper.said()[..], [ToClient::Answer { call: CALL, .. }]));
         sleeper.wakes();
         while sleeper.notes.try_recv().is_ok() {}
@@ -187,7 +187,7 @@
         let mut sleeper = Sleeper::new();
         sleeper.answered();
         sleeper.owner.carry_out();
-        hears(&mut sleeper.owner, News::Covered(1));
+        hears(&mut sleeper.owner, ReplicationEvent::Committed(1));
         sleeper.said();
         sleeper.owner.take(ended(sleeper.link));
         sleeper.wakes();
--- a/agent/src/net/owner/tests/shutdown.rs
+++ b/agent/src/net/owner/tests/shutdown.rs
@@ -34,7 +34,7 @@
     /// Its call was answered by its server.
     fn start() -> Self {
         let (mut owner, callers, link, to_server, lease, notes) = with_noted_copies();
-        hears(&mut owner, News::Short(false));
+        hears(&mut owner, ReplicationEvent::Degraded(false));
         let at = owner.shared.clock.now() - STOPPING_FOR;
         owner.take(Input::Answered { link, call: CALL, description: "v=1".into() });
         owner.carry_out();
@@ -49,7 +49,7 @@
     }
 
     async fn covered(&self, number: u64) {
-        self.take(Input::Copies(News::Covered(number))).await;
+        self.take(Input::Copies(ReplicationEvent::Committed(number))).await;
     }
 
     /// What its caller is told next of its call or its connection.
--- a/agent/src/ops/line.rs
+++ b/agent/src/ops/line.rs
@@ -2,7 +2,7 @@
 
 use steprelay_core::duty::State;
 
-use steprelay_copies::member::Figures as CopyFigures;
+use steprelay_copies::member::ReplicationStats;
 use steprelay_fleet::node::Figures as FleetFigures;
 
 use crate::ports::Snapshot;
@@ -111,17 +111,17 @@
 }
 
 /// The figures of copies by their names.
-pub fn copy_figures(copies: &CopyFigures) -> [(&'static str, u64); 9] {
+pub fn copy_figures(copies: &ReplicationStats) -> [(&'static str, u64); 9] {
     [
-        ("own", copies.own),
-        ("adopted", copies.adopted),
-        ("under_copied", copies.under_copied),
+        ("own", copies.own_records),
+        ("adopted", copies.taken_over_records),
+        ("under_copied", copies.under_replicated),
         ("holders", copies.holders),
-        ("held_streams", copies.held_streams),
-        ("held", copies.held),
-        ("takeovers", copies.takeovers),
-        ("renounced", copies.renounced),
-        ("missed", copies.missed),
+        ("held_streams", copies.replica_streams),
+        ("held", copies.replica_records),
+        ("takeovers", copies.failovers),
+        ("renounced", copies.ownership_losses),
+        ("missed", copies.uncommitted_overflows),
     ]
 }
 
--- a/agent/src/ports/copies.rs
+++ b/agent/src/ports/copies.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-use steprelay_copies::member::Question;
-use steprelay_copies::{Call, Record};
+use steprelay_copies::member::PeerRequest;
+use steprelay_copies::{Call, CallRecord};
 use steprelay_core::{Promise, ReleaseCause};
 use steprelay_decisions::{CallId, ServerId};
 
@@ -23,25 +23,25 @@
     /// The caller of a call that another member is about to see to was told here that it is over.
     Given(CallId),
     /// What preceded another member's question was carried out.
-    Confirmed(Question),
+    Confirmed(PeerRequest),
     /// Of calls that were given up to a successor: their callers were told nothing, and are to be told here
     /// that they failed, unless the successor has ended them.
     Relinquished(Vec<CallId>),
 }
 
-pub fn record(promise: Promise) -> Record {
+pub fn record(promise: Promise) -> CallRecord {
     match promise {
-        Promise::Out(server) => Record::Out { server: server.0 },
-        Promise::Stands(server) => Record::Stands { server: server.0 },
-        Promise::Owed(server, cause) => Record::Owed { server: server.0, cause: cause.0 },
+        Promise::Out(server) => CallRecord::AttemptPending { server: server.0 },
+        Promise::Stands(server) => CallRecord::Established { server: server.0 },
+        Promise::Owed(server, cause) => CallRecord::ReleasePending { server: server.0, cause: cause.0 },
     }
 }
 
-pub fn promise(record: Record) -> Promise {
+pub fn promise(record: CallRecord) -> Promise {
     match record {
-        Record::Out { server } => Promise::Out(ServerId(server)),
-        Record::Stands { server } => Promise::Stands(ServerId(server)),
-        Record::Owed { server, cause } => Promise::Owed(ServerId(server), ReleaseCause(cause)),
+        CallRecord::AttemptPending { server } => Promise::Out(ServerId(server)),
+        CallRecord::Established { server } => Promise::Stands(ServerId(server)),
+        CallRecord::ReleasePending { server, cause } => Promise::Owed(ServerId(server), ReleaseCause(cause)),
     }
 }
 
--- a/agent/src/ports/mod.rs
+++ b/agent/src/ports/mod.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use steprelay_copies::member::{Figures as CopyFigures, News};
+use steprelay_copies::member::{ReplicationEvent, ReplicationStats};
 use steprelay_core::duty::{self, IsStopping};
 use steprelay_core::{
     ClientId, Counts, LinkLoss, Peer, ReleaseCause, Request, ServerCounts, SetUp, Source, Verdict,
@@ -255,7 +255,7 @@
     /// The figures are asked for.
     Snapshot(oneshot::Sender<Snapshot>),
     /// Of whoever keeps copies of what is promised here.
-    Copies(News),
+    Copies(ReplicationEvent),
     /// Operators ask whether work is taken, or change it.
     Duty(OnDuty, oneshot::Sender<Result<duty::State, IsStopping>>),
     /// `replaced`: another process takes the new connections. `at`: when the signal came.
@@ -327,7 +327,7 @@
     /// What is known of the fleet, where this call agent is a member of one.
     pub fleet: Rc<RefCell<Option<FleetFigures>>>,
     /// And of copies, where it keeps any.
-    pub copies: Rc<Cell<Option<CopyFigures>>>,
+    pub copies: Rc<Cell<Option<ReplicationStats>>>,
     /// Servers hear that a release was heard from the owner of the core, once others hold it.
     pub heard_later: bool,
 }
@@ -395,7 +395,7 @@
     pub held: Vec<(ServerId, bool)>,
     /// What is known of the fleet.
     pub fleet: Option<FleetFigures>,
-    pub copies: Option<CopyFigures>,
+    pub copies: Option<ReplicationStats>,
     /// What went out though too few others knew of it.
     pub uncopied: u64,
     /// Each server with the bound of its image, if it has one.
--- a/copies/src/holder.rs
+++ b/copies/src/holder.rs
@@ -2,32 +2,32 @@
 
 use std::collections::BTreeMap;
 
-use crate::words::{Gather, Part, Word};
-use crate::{Call, Millis, Record, StreamId};
+use crate::messages::{Message, Part, PartAssembler};
+use crate::{Call, CallRecord, Millis, StreamId};
 
 /// Streams and records that are held, at most.
-const MOST_STREAMS: usize = 256;
-const MOST_HELD: usize = 1_000_000;
-/// Streams that are over are remembered, so that a late word brings none back.
-const MOST_OVER: usize = 1_024;
+const MAX_STREAMS: usize = 256;
+const MAX_RECORDS: usize = 1_000_000;
+/// Streams that are over are remembered, so that a late message brings none back.
+const MAX_CLOSED_STREAMS: usize = 1_024;
 
 #[derive(Clone, Debug, Default)]
-pub struct Copy {
+pub struct Replica {
     /// Who wrote it last, in which start of its program.
-    writer: String,
+    primary: String,
     boot: u64,
     /// By which epoch it was written, and below which nobody may write any more.
     epoch: u64,
     fence: u64,
-    number: u64,
-    records: BTreeMap<Call, Record>,
-    whole: Option<Gather>,
-    heard: Millis,
+    sequence: u64,
+    records: BTreeMap<Call, CallRecord>,
+    snapshot: Option<PartAssembler>,
+    heard_at: Millis,
 }
 
-impl Copy {
-    pub fn writer(&self) -> &str {
-        &self.writer
+impl Replica {
+    pub fn primary(&self) -> &str {
+        &self.primary
     }
 
     pub fn boot(&self) -> u64 {
@@ -38,115 +38,134 @@
         self.epoch
     }
 
-    pub fn number(&self) -> u64 {
-        self.number
+    pub fn sequence(&self) -> u64 {
+        self.sequence
     }
 
-    pub fn records(&self) -> &BTreeMap<Call, Record> {
+    pub fn records(&self) -> &BTreeMap<Call, CallRecord> {
         &self.records
     }
 
-    /// When its writer was last heard.
-    pub fn heard(&self) -> Millis {
-        self.heard
+    /// When its primary was last heard_at.
+    pub fn heard_at(&self) -> Millis {
+        self.heard_at
     }
 }
 
 #[derive(Debug, Default)]
-pub struct Holder {
-    copies: BTreeMap<StreamId, Copy>,
-    over: std::collections::VecDeque<StreamId>,
+pub struct ReplicaHolder {
+    replicas: BTreeMap<StreamId, Replica>,
+    closed: std::collections::VecDeque<StreamId>,
 }
 
-impl Holder {
-    pub fn copy(&self, stream: StreamId) -> Option<&Copy> {
-        self.copies.get(&stream)
+impl ReplicaHolder {
+    pub fn replica(&self, stream: StreamId) -> Option<&Replica> {
+        self.replicas.get(&stream)
     }
 
-    pub fn copies(&self) -> impl Iterator<Item = (StreamId, &Copy)> {
-        self.copies.iter().map(|(stream, copy)| (*stream, copy))
+    pub fn replicas(&self) -> impl Iterator<Item = (StreamId, &Replica)> {
+        self.replicas.iter().map(|(stream, replica)| (*stream, replica))
     }
 
     /// Records held in all.
-    pub fn held(&self) -> usize {
-        self.copies.values().map(|copy| copy.records.len()).sum()
+    pub fn record_count(&self) -> usize {
+        self.replicas.values().map(|replica| replica.records.len()).sum()
     }
 
     /// A stream is over: all that it promised was kept.
-    pub fn over(&mut self, stream: StreamId) {
-        self.copies.remove(&stream);
-        if !self.over.contains(&stream) {
-            self.over.push_back(stream);
-            if self.over.len() > MOST_OVER {
-                self.over.pop_front();
+    pub fn close(&mut self, stream: StreamId) {
+        self.replicas.remove(&stream);
+        if !self.closed.contains(&stream) {
+            self.closed.push_back(stream);
+            if self.closed.len() > MAX_CLOSED_STREAMS {
+                self.closed.pop_front();
             }
         }
     }
 
-    /// Lets go of what holds nothing and whose writer is gone.
+    /// Lets go of what holds nothing and whose primary is gone.
     pub fn sweep(&mut self, is_there: impl Fn(&str, u64) -> bool) {
-        self.copies.retain(|_, copy| !copy.records.is_empty() || is_there(&copy.writer, copy.boot));
+        self.replicas
+            .retain(|_, replica| !replica.records.is_empty() || is_there(&replica.primary, replica.boot));
     }
 
     /// Nobody below this epoch may write it any more.
     pub fn fence(&mut self, stream: StreamId, epoch: u64) {
-        if self.copies.contains_key(&stream) || self.copies.len() < MOST_STREAMS {
-            let copy = self.copies.entry(stream).or_default();
-            copy.fence = copy.fence.max(epoch);
+        if self.replicas.contains_key(&stream) || self.replicas.len() < MAX_STREAMS {
+            let replica = self.replicas.entry(stream).or_default();
+            replica.fence = replica.fence.max(epoch);
         }
     }
 
-    /// A word of a writer or a successor, in its start `boot`; the answer to it, where one is owed.
-    pub fn received(&mut self, now: Millis, from: &str, boot: u64, word: Word) -> Option<Word> {
-        match word {
-            Word::Changes { stream, epoch, after, changes } => {
-                let copy = match self.admit(now, (from, boot), stream, epoch) {
-                    Ok(copy) => copy,
+    /// A message of a primary or a successor, in its start `boot`; the answer to it, where one is owed.
+    pub fn handle_message(
+        &mut self,
+        now: Millis,
+        from: &str,
+        boot: u64,
+        message: Message,
+    ) -> Option<Message> {
+        match message {
+            Message::Append { stream, epoch, after, changes } => {
+                let replica = match self.admit(now, (from, boot), stream, epoch) {
+                    Ok(replica) => replica,
                     Err(answer) => return Some(answer),
                 };
-                // Another writer begins with the whole, but for a stream from its first change on.
-                let fits =
-                    if copy.epoch == epoch { after <= copy.number } else { after == 0 && copy.number == 0 };
-                if fits {
-                    copy.epoch = epoch;
-                    let known = (copy.number - after) as usize;
+                // Another primary begins with the snapshot, but for a stream from its first change on.
+                let is_contiguous = if replica.epoch == epoch {
+                    after <= replica.sequence
+                } else {
+                    after == 0 && replica.sequence == 0
+                };
+                if is_contiguous {
+                    replica.epoch = epoch;
+                    let known = (replica.sequence - after) as usize;
                     for (call, record) in changes.into_iter().skip(known) {
                         match record {
-                            Some(record) => copy.records.insert(call, record),
-                            None => copy.records.remove(&call),
+                            Some(record) => replica.records.insert(call, record),
+                            None => replica.records.remove(&call),
                         };
-                        copy.number += 1;
+                        replica.sequence += 1;
                     }
                 }
-                let number = if copy.epoch == epoch { copy.number } else { 0 };
-                Some(Word::Holds { stream, epoch, number, parts: copy.parts() })
+                let sequence = if replica.epoch == epoch { replica.sequence } else { 0 };
+                Some(Message::Ack { stream, epoch, sequence, received_parts: replica.received_parts() })
             }
-            Word::Whole { stream, epoch, number, part } => {
-                let copy = match self.admit(now, (from, boot), stream, epoch) {
-                    Ok(copy) => copy,
+            Message::Snapshot { stream, epoch, sequence, part } => {
+                let replica = match self.admit(now, (from, boot), stream, epoch) {
+                    Ok(replica) => replica,
                     Err(answer) => return Some(answer),
                 };
-                if copy.epoch == epoch && copy.number >= number {
-                    return Some(Word::Holds { stream, epoch, number: copy.number, parts: 0 });
+                if replica.epoch == epoch && replica.sequence >= sequence {
+                    return Some(Message::Ack {
+                        stream,
+                        epoch,
+                        sequence: replica.sequence,
+                        received_parts: 0,
+                    });
                 }
-                if copy.whole.as_ref().is_none_or(|whole| !whole.fits(number, &part)) {
-                    copy.whole = Some(Gather::new(number, part.of));
+                if replica.snapshot.as_ref().is_none_or(|snapshot| !snapshot.accepts(sequence, &part)) {
+                    replica.snapshot = Some(PartAssembler::new(sequence, part.total));
                 }
-                if copy.whole.as_mut().is_some_and(|whole| whole.take(part)) {
-                    let records = copy.whole.take().map(Gather::records).unwrap_or_default();
-                    (copy.epoch, copy.number) = (epoch, number);
-                    copy.records = records.into_iter().collect();
+                if replica.snapshot.as_mut().is_some_and(|snapshot| snapshot.push(part)) {
+                    let records = replica.snapshot.take().map(PartAssembler::records).unwrap_or_default();
+                    (replica.epoch, replica.sequence) = (epoch, sequence);
+                    replica.records = records.into_iter().collect();
                 }
-                let number = if copy.epoch == epoch { copy.number } else { 0 };
-                Some(Word::Holds { stream, epoch, number, parts: copy.parts() })
+                let sequence = if replica.epoch == epoch { replica.sequence } else { 0 };
+                Some(Message::Ack { stream, epoch, sequence, received_parts: replica.received_parts() })
             }
-            Word::Drop { stream, epoch } => {
-                if self.copies.get(&stream).is_some_and(|copy| copy.epoch <= epoch && copy.fence <= epoch) {
-                    self.copies.remove(&stream);
+            Message::Discard { stream, epoch } => {
+                if self
+                    .replicas
+                    .get(&stream)
+                    .is_some_and(|replica| replica.epoch <= epoch && replica.fence <= epoch)
+                {
+                    self.replicas.remove(&stream);
                 }
                 None
             }
-            Word::Fetch { stream, epoch, from } => Some(self.fetch(stream, epoch, from)),
+            Message::Fetch { stream, epoch, from } => Some(self.fetch(stream, epoch, from)),
             _ => None,
         }
     }
@@ -157,50 +176,50 @@
         (from, boot): (&str, u64),
         stream: StreamId,
         epoch: u64,
-    ) -> Result<&mut Copy, Word> {
-        if self.over.contains(&stream) {
-            return Err(Word::Fenced { stream, epoch: u64::MAX });
+    ) -> Result<&mut Replica, Message> {
+        if self.closed.contains(&stream) {
+            return Err(Message::Fenced { stream, epoch: u64::MAX });
         }
-        let full = self.held() >= MOST_HELD;
-        let known = self.copies.contains_key(&stream);
-        if !known && (full || self.copies.len() >= MOST_STREAMS) {
-            return Err(Word::Full { stream, epoch });
+        let is_full = self.record_count() >= MAX_RECORDS;
+        let known = self.replicas.contains_key(&stream);
+        if !known && (is_full || self.replicas.len() >= MAX_STREAMS) {
+            return Err(Message::CapacityExceeded { stream, epoch });
         }
-        let copy = self.copies.entry(stream).or_default();
-        if epoch < copy.fence.max(copy.epoch) {
-            return Err(Word::Fenced { stream, epoch: copy.fence.max(copy.epoch) });
+        let replica = self.replicas.entry(stream).or_default();
+        if epoch < replica.fence.max(replica.epoch) {
+            return Err(Message::Fenced { stream, epoch: replica.fence.max(replica.epoch) });
         }
-        if full {
-            return Err(Word::Full { stream, epoch });
+        if is_full {
+            return Err(Message::CapacityExceeded { stream, epoch });
         }
-        copy.fence = epoch;
-        copy.heard = now;
-        if copy.writer != from {
-            copy.writer = from.into();
+        replica.fence = epoch;
+        replica.heard_at = now;
+        if replica.primary != from {
+            replica.primary = from.into();
         }
-        copy.boot = boot;
-        Ok(copy)
+        replica.boot = boot;
+        Ok(replica)
     }
 
-    fn fetch(&mut self, stream: StreamId, epoch: u64, from: u32) -> Word {
-        let fence = self.copies.get(&stream).map_or(0, |copy| copy.fence);
+    fn fetch(&mut self, stream: StreamId, epoch: u64, from: u32) -> Message {
+        let fence = self.replicas.get(&stream).map_or(0, |replica| replica.fence);
         if fence > epoch {
-            return Word::Fenced { stream, epoch: fence };
+            return Message::Fenced { stream, epoch: fence };
         }
         self.fence(stream, epoch);
-        let Some(copy) = self.copies.get(&stream) else {
-            let part = Part { place: 0, of: 1, records: Vec::new() };
-            return Word::Fetched { stream, epoch, held: 0, number: 0, part };
+        let Some(replica) = self.replicas.get(&stream) else {
+            let part = Part { index: 0, total: 1, records: Vec::new() };
+            return Message::Fetched { stream, epoch, replica_epoch: 0, sequence: 0, part };
         };
-        // What is held changes no more until the successor writes: every part is of one whole.
-        let parts = Part::all(&copy.records);
+        // What is held changes no more until the successor writes: every part is of one snapshot.
+        let parts = Part::all(&replica.records);
         let part = parts[(from as usize).min(parts.len() - 1)].clone();
-        Word::Fetched { stream, epoch, held: copy.epoch, number: copy.number, part }
+        Message::Fetched { stream, epoch, replica_epoch: replica.epoch, sequence: replica.sequence, part }
     }
 }
 
-impl Copy {
-    fn parts(&self) -> u32 {
-        self.whole.as_ref().map_or(0, Gather::came)
+impl Replica {
+    fn received_parts(&self) -> u32 {
+        self.snapshot.as_ref().map_or(0, PartAssembler::received)
     }
 }
--- a/copies/src/member.rs
+++ b/copies/src/member.rs
@@ -1,6 +1,6 @@
 //! One member's part in copies: what it writes, what it holds, what it takes over, and what it says.
 //!
-//! Its process notes what it promises ([`Member::note`]) and is told [`News`]. Nothing is written, and
+//! Its process notes what it promises ([`Member::note`]) and is told [`ReplicationEvent`]. Nothing is written, and
 //! nothing taken over, without a lease: whoever sleeps or is cut off finds out first whether it was
 //! succeeded.
 
@@ -8,52 +8,52 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use handover::{Ended, EndedBy, Handing, Successor, Teller};
+use handover::{Handover, PeerProcess, ReleaseEntry, ReleaseStatus, Successor};
 
-use crate::holder::Holder;
-use crate::placement::{holders, Place};
-use crate::takeover::{Found, Takeover};
-use crate::words::Word;
-use crate::writer::{Limits, Writer};
-use crate::{Call, Change, Millis, Record, StreamId};
+use crate::failover::{Failover, RecoveredStream};
+use crate::holder::ReplicaHolder;
+use crate::messages::Message;
+use crate::placement::{select_holders, Candidate};
+use crate::primary::{Primary, ReplicationPolicy};
+use crate::{Call, CallRecord, Change, Millis, StreamId};
 
 /// Who holds what is looked at so often.
-const PLACE: Millis = 500;
+const PLACEMENT_INTERVAL_MS: Millis = 500;
 /// A holder that was slow is not chosen again for so long.
-const AVOID: Millis = 10_000;
-/// Notes that wait to be covered, at most. Past that the oldest count as covered, and as missed.
-const MOST_WAITING: usize = 65_536;
+const LAGGING_HOLDER_BACKOFF_MS: Millis = 10_000;
+/// Notes that wait to be committed, at most. Past that the oldest id as committed, and as uncommitted_overflows.
+const MAX_UNCOMMITTED_CHANGES: usize = 65_536;
 /// Calls that are over elsewhere are remembered for so long, and so many of them.
-const REMEMBER: Millis = 60_000;
-const MOST_REMEMBERED: usize = 100_000;
+const RELEASE_RETENTION_MS: Millis = 60_000;
+const MAX_RETAINED_RELEASES: usize = 100_000;
 /// Words that are owed an answer are said again after this, and given up after that.
-const AGAIN: Millis = 300;
-const TOLD_FOR: Millis = 10_000;
-/// Calls of one such word, and words of that kind at once.
-const MOST_CALLS: usize = 512;
-const MOST_TELLINGS: usize = 256;
-/// Questions of others that wait for their answers, at most.
-const MOST_QUESTIONS: usize = 1_024;
-/// The number of a word that answers another and is not confirmed itself.
-const ANSWER: u64 = 0;
+const RETRANSMIT_INTERVAL_MS: Millis = 300;
+const REQUEST_TIMEOUT_MS: Millis = 10_000;
+/// Calls of one such message, and outbox of that kind at once.
+const MAX_CALLS_PER_MESSAGE: usize = 512;
+const MAX_ANNOUNCEMENTS: usize = 256;
+/// Questions of peers that wait for their answers, at most.
+const MAX_PEER_REQUESTS: usize = 1_024;
+/// The sequence of a message that answers another and is not confirmed itself.
+const NO_ACK_ID: u64 = 0;
 /// A release is left to a member that has announced it and is there after this: a lost one is known by then.
-const LEFT_FOR: Millis = 5_000;
+const DELEGATION_TIMEOUT_MS: Millis = 5_000;
 /// A stream that is over is put into the log so often until it is there.
-const SETTLE: Millis = 1_000;
+const SETTLE_RETRY_INTERVAL_MS: Millis = 1_000;
 
 /// Another member that is alive.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Other {
+pub struct PeerMember {
     pub name: String,
     pub zone: String,
     pub boot: u64,
     /// It takes calls, and is not about to go.
-    pub serves: bool,
+    pub is_serving: bool,
 }
 
-/// Who writes a stream by the log, since its first writer was lost.
+/// Who writes a stream by the log, since its first primary was lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Authority {
+pub struct StreamOwner {
     pub stream: StreamId,
     pub name: String,
     pub boot: u64,
@@ -62,46 +62,46 @@
 
 /// What is known of the fleet.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct ClusterView {
     /// Whether this member's lease holds.
-    pub leased: bool,
-    pub others: Vec<Other>,
-    pub authorities: Vec<Authority>,
+    pub has_lease: bool,
+    pub peers: Vec<PeerMember>,
+    pub stream_owners: Vec<StreamOwner>,
     pub settled: Vec<StreamId>,
 }
 
 /// What the process is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
-    /// Enough others hold the first so many of its notes.
-    Covered(u64),
-    /// It keeps these promises from now on, of others that are lost.
-    Adopt(Vec<(Call, Record)>),
+pub enum ReplicationEvent {
+    /// Enough peers hold the first so many of its notes.
+    Committed(u64),
+    /// It keeps these promises from now on, of peers that are lost.
+    TakenOver(Vec<(Call, CallRecord)>),
     /// What such a one says, that only slept, of what it did last.
-    Handed(Vec<Change>),
+    LateChanges(Vec<Change>),
     /// Another keeps what was promised of these calls.
-    Renounce(BTreeSet<Call>),
+    OwnershipLost(BTreeSet<Call>),
     /// Others have seen to the end of these calls, or are about to.
-    Over(Vec<Call>, Precedence),
+    EndedElsewhere(Vec<Call>, Precedence),
     /// All that precedes this was carried out: to be answered with [`Member::confirm`].
-    Confirm(Question),
-    /// All other members have said of these calls, which they were told are over, what they had to say.
-    AllTold(Vec<Call>),
-    /// Other members, which are there, have announced the end of these calls, and see to it.
-    LeftTo(Vec<Call>),
+    Barrier(PeerRequest),
+    /// All peer members have said of these calls, which they were told are over, what they had to say.
+    AllNotified(Vec<Call>),
+    /// PeerMember members, which are there, have announced the end of these calls, and see to it.
+    DelegatedToPeer(Vec<Call>),
     /// Others have told the callers of these calls that they are over.
-    Given(Vec<Call>),
+    ReleaseDelivered(Vec<Call>),
     /// Of calls that were relinquished: the successor has told their callers nothing, and never will.
     Relinquished(Vec<Call>),
-    /// Whether too few others can take copies.
-    Short(bool),
+    /// Whether too few peers can take copies.
+    Degraded(bool),
 }
 
-/// A word of another member that is confirmed once this member's process has answered it.
+/// A message of another member that is confirmed once this member's process has answered it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct PeerRequest {
     pub from: String,
-    pub count: u64,
+    pub id: u64,
 }
 
 /// Which of two members gives a release that both are about to give.
@@ -111,32 +111,32 @@
     Theirs,
 }
 
-/// Figures of one moment.
+/// ReplicationStats of one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct ReplicationStats {
     /// Records of this member's own, and those it has taken over.
-    pub own: u64,
-    pub adopted: u64,
-    /// Of these, how many fewer than `copies` others hold; and others that hold its own.
-    pub under_copied: u64,
+    pub own_records: u64,
+    pub taken_over_records: u64,
+    /// Of these, how many fewer than `copies` peers hold; and peers that hold its own.
+    pub under_replicated: u64,
     pub holders: u64,
-    /// What it holds of others.
-    pub held_streams: u64,
-    pub held: u64,
+    /// What it holds of peers.
+    pub replica_streams: u64,
+    pub replica_records: u64,
     /// Successions it has begun, and times that it gave something up to another.
-    pub takeovers: u64,
-    pub renounced: u64,
-    /// Notes that counted as covered without being so.
-    pub missed: u64,
+    pub failovers: u64,
+    pub ownership_losses: u64,
+    /// Notes that counted as committed without being so.
+    pub uncommitted_overflows: u64,
 }
 
 #[derive(Debug)]
-struct Telling {
-    count: u64,
+struct Announcement {
+    id: u64,
     calls: Vec<Call>,
-    waiting: BTreeSet<String>,
-    said: Option<Millis>,
-    until: Millis,
+    awaiting: BTreeSet<String>,
+    sent_at: Option<Millis>,
+    expires_at: Millis,
 }
 
 #[derive(Debug)]
@@ -144,464 +144,489 @@
     name: String,
     zone: String,
     boot: u64,
-    limits: Limits,
-    own: Writer,
-    adopted: BTreeMap<StreamId, Writer>,
+    policy: ReplicationPolicy,
+    own: Primary,
+    taken_over: BTreeMap<StreamId, Primary>,
     /// Calls that were taken over, by their streams.
     routed: BTreeMap<Call, StreamId>,
-    takeovers: BTreeMap<StreamId, Takeover>,
-    holder: Holder,
-    /// Notes so far, and those that are covered; in between, which change of which stream each was.
-    noted: u64,
-    covered: u64,
-    waiting: VecDeque<(u64, StreamId, u64)>,
-    /// Without a lease: the calls that others may know of from before.
-    paused: Option<BTreeSet<Call>>,
-    placed: Option<Millis>,
+    failovers: BTreeMap<StreamId, Failover>,
+    holder: ReplicaHolder,
+    /// Notes so far, and those that are committed; in between, which change of which stream each was.
+    recorded: u64,
+    committed: u64,
+    uncommitted: VecDeque<(u64, StreamId, u64)>,
+    /// Without a lease: the calls that peers may know of from before.
+    shared_before_lease_loss: Option<BTreeSet<Call>>,
+    placed_at: Option<Millis>,
     avoided: BTreeMap<String, Millis>,
-    overs: BTreeMap<Call, Ended>,
-    over_order: VecDeque<Call>,
-    passed_on: Vec<Call>,
+    releases: BTreeMap<Call, ReleaseEntry>,
+    release_order: VecDeque<Call>,
+    unannounced: Vec<Call>,
     /// Calls whose releases were acknowledged, by their streams, until the replicas are told.
     acknowledged: BTreeMap<StreamId, Vec<Call>>,
     /// Releases that came here too, of calls whose end another member has announced; since when.
-    left: BTreeMap<Call, (Teller, Millis)>,
-    tellings: VecDeque<Telling>,
-    /// Questions of other members that this member's process has not answered yet.
-    questions: VecDeque<Question>,
-    handings: Vec<Handing>,
+    delegated: BTreeMap<Call, (PeerProcess, Millis)>,
+    announcements: VecDeque<Announcement>,
+    /// Questions of peer members that this member's process has not answered yet.
+    peer_requests: VecDeque<PeerRequest>,
+    handovers: Vec<Handover>,
     /// Of this member's own stream of before.
     successor: Option<Successor>,
     settling: BTreeMap<StreamId, Millis>,
     settled: Vec<StreamId>,
     /// Members that were alive at the last tick, and the starts of their programs.
-    others: Vec<String>,
+    peers: Vec<String>,
     boots: BTreeMap<String, u64>,
-    short: bool,
-    count: u64,
-    figures: Figures,
-    news: VecDeque<News>,
-    words: Vec<(String, Word)>,
+    is_degraded: bool,
+    last_message_id: u64,
+    stats: ReplicationStats,
+    events: VecDeque<ReplicationEvent>,
+    outbox: Vec<(String, Message)>,
 }
 
 impl Member {
-    /// `boot`: of this start of the program, as others know it.
-    pub fn new(name: &str, zone: &str, boot: u64, limits: Limits) -> Self {
+    /// `boot`: of this start of the program, as peers know it.
+    pub fn new(name: &str, zone: &str, boot: u64, policy: ReplicationPolicy) -> Self {
         Member {
             name: name.into(),
             zone: zone.into(),
             boot,
-            limits,
-            own: Writer::new(StreamId(boot), limits),
-            adopted: BTreeMap::new(),
+            policy,
+            own: Primary::new(StreamId(boot), policy),
+            taken_over: BTreeMap::new(),
             routed: BTreeMap::new(),
-            takeovers: BTreeMap::new(),
-            holder: Holder::default(),
-            noted: 0,
-            covered: 0,
-            waiting: VecDeque::new(),
-            paused: Some(BTreeSet::new()),
-            placed: None,
+            failovers: BTreeMap::new(),
+            holder: ReplicaHolder::default(),
+            recorded: 0,
+            committed: 0,
+            uncommitted: VecDeque::new(),
+            shared_before_lease_loss: Some(BTreeSet::new()),
+            placed_at: None,
             avoided: BTreeMap::new(),
-            overs: BTreeMap::new(),
-            over_order: VecDeque::new(),
-            passed_on: Vec::new(),
+            releases: BTreeMap::new(),
+            release_order: VecDeque::new(),
+            unannounced: Vec::new(),
             acknowledged: BTreeMap::new(),
-            left: BTreeMap::new(),
-            tellings: VecDeque::new(),
-            questions: VecDeque::new(),
-            handings: Vec::new(),
+            delegated: BTreeMap::new(),
+            announcements: VecDeque::new(),
+            peer_requests: VecDeque::new(),
+            handovers: Vec::new(),
             successor: None,
             settling: BTreeMap::new(),
             settled: Vec::new(),
-            others: Vec::new(),
+            peers: Vec::new(),
             boots: BTreeMap::new(),
-            short: limits.needed > 0,
-            count: 0,
-            figures: Figures::default(),
-            news: VecDeque::new(),
-            words: Vec::new(),
+            is_degraded: policy.required_acks > 0,
+            last_message_id: 0,
+            stats: ReplicationStats::default(),
+            events: VecDeque::new(),
+            outbox: Vec::new(),
         }
     }
 
-    pub fn take_news(&mut self) -> Option<News> {
-        self.news.pop_front()
+    pub fn next_event(&mut self) -> Option<ReplicationEvent> {
+        self.events.pop_front()
     }
 
     /// What is to be said, and to whom.
-    pub fn take_words(&mut self) -> Vec<(String, Word)> {
-        std::mem::take(&mut self.words)
+    pub fn take_messages(&mut self) -> Vec<(String, Message)> {
+        std::mem::take(&mut self.outbox)
     }
 
-    pub fn figures(&self) -> Figures {
-        let adopted = || self.adopted.values();
-        Figures {
-            own: self.own.records().len() as u64,
-            adopted: adopted().map(|writer| writer.records().len() as u64).sum(),
-            under_copied: adopted().chain([&self.own]).map(|writer| writer.under_copied() as u64).sum(),
+    pub fn stats(&self) -> ReplicationStats {
+        let taken_over = || self.taken_over.values();
+        ReplicationStats {
+            own_records: self.own.records().len() as u64,
+            taken_over_records: taken_over().map(|primary| primary.records().len() as u64).sum(),
+            under_replicated: taken_over()
+                .chain([&self.own])
+                .map(|primary| primary.under_replicated() as u64)
+                .sum(),
             holders: self.own.holders().count() as u64,
-            held_streams: self.holder.copies().count() as u64,
-            held: self.holder.held() as u64,
-            ..self.figures
+            replica_streams: self.holder.replicas().count() as u64,
+            replica_records: self.holder.record_count() as u64,
+            ..self.stats
         }
     }
 
-    pub fn holder(&self) -> &Holder {
+    pub fn holder(&self) -> &ReplicaHolder {
         &self.holder
     }
 
     /// The streams of this member's own and those it has taken over, with the names of those that hold them.
-    pub fn written(&self) -> impl Iterator<Item = &Writer> {
-        [&self.own].into_iter().chain(self.adopted.values())
+    pub fn primaries(&self) -> impl Iterator<Item = &Primary> {
+        [&self.own].into_iter().chain(self.taken_over.values())
     }
 
     /// What it writes by which epoch, and is about to.
-    pub fn writes(&self) -> Vec<(StreamId, u64)> {
-        let written = self.written().map(|writer| (writer.stream(), writer.epoch()));
-        written.chain(self.takeovers.iter().map(|(stream, takeover)| (*stream, takeover.epoch()))).collect()
+    pub fn owned_streams(&self) -> Vec<(StreamId, u64)> {
+        let primaries = self.primaries().map(|primary| (primary.stream(), primary.epoch()));
+        primaries.chain(self.failovers.iter().map(|(stream, failover)| (*stream, failover.epoch()))).collect()
     }
 
     /// The process promises something else of a call, or nothing any more.
-    pub fn note(&mut self, call: Call, record: Option<Record>) {
-        self.noted += 1;
+    pub fn record_change(&mut self, call: Call, record: Option<CallRecord>) {
+        self.recorded += 1;
         let stream = self.routed.get(&call).copied();
-        let writer = match stream.and_then(|stream| self.adopted.get_mut(&stream)) {
-            Some(writer) => writer,
+        let primary = match stream.and_then(|stream| self.taken_over.get_mut(&stream)) {
+            Some(primary) => primary,
             None => &mut self.own,
         };
-        let number = writer.note(call, record);
-        self.waiting.push_back((self.noted, writer.stream(), number));
+        let sequence = primary.record_change(call, record);
+        self.uncommitted.push_back((self.recorded, primary.stream(), sequence));
         if record.is_none() {
             self.routed.remove(&call);
         }
-        if self.waiting.len() > MOST_WAITING {
-            self.waiting.pop_front();
-            self.figures.missed += 1;
+        if self.uncommitted.len() > MAX_UNCOMMITTED_CHANGES {
+            self.uncommitted.pop_front();
+            self.stats.uncommitted_overflows += 1;
         }
     }
 
     /// Some notes were lost on the way; this is all that the process promises. It counts as one note.
-    pub fn replace(&mut self, records: BTreeMap<Call, Record>) {
-        self.noted += 1;
-        let gone: Vec<Call> =
+    pub fn replace_all(&mut self, records: BTreeMap<Call, CallRecord>) {
+        self.recorded += 1;
+        let removed: Vec<Call> =
             self.routed.keys().filter(|call| !records.contains_key(call)).copied().collect();
-        for call in gone {
-            if let Some(writer) = self.routed.remove(&call).and_then(|stream| self.adopted.get_mut(&stream)) {
-                writer.note(call, None);
+        for call in removed {
+            if let Some(primary) =
+                self.routed.remove(&call).and_then(|stream| self.taken_over.get_mut(&stream))
+            {
+                primary.record_change(call, None);
             }
         }
         let (routed, own): (BTreeMap<_, _>, BTreeMap<_, _>) =
             records.into_iter().partition(|(call, _)| self.routed.contains_key(call));
         for (call, record) in routed {
-            let writer = self.routed.get(&call).and_then(|stream| self.adopted.get_mut(stream));
-            if let Some(writer) = writer {
-                writer.note(call, Some(record));
+            let primary = self.routed.get(&call).and_then(|stream| self.taken_over.get_mut(stream));
+            if let Some(primary) = primary {
+                primary.record_change(call, Some(record));
             }
         }
-        let number = self.own.replace(own);
-        self.waiting.push_back((self.noted, self.own.stream(), number));
+        let sequence = self.own.replace(own);
+        self.uncommitted.push_back((self.recorded, self.own.stream(), sequence));
     }
 
-    /// A word of another member, in its start `boot`.
-    pub fn received(&mut self, now: Millis, from: &str, boot: u64, word: Word) {
-        match word {
-            Word::Holds { .. } | Word::Full { .. } => {
-                self.at_writers(now, from, boot, &word);
+    /// A message of another member, in its start `boot`.
+    pub fn handle_message(&mut self, now: Millis, from: &str, boot: u64, message: Message) {
+        match message {
+            Message::Ack { .. } | Message::CapacityExceeded { .. } => {
+                self.forward_to_primaries(now, from, boot, &message);
             }
-            Word::Fenced { .. } | Word::Fetched { .. } => {
-                self.at_writers(now, from, boot, &word);
-                self.takeovers.values_mut().for_each(|takeover| takeover.received(from, word.clone()));
+            Message::Fenced { .. } | Message::Fetched { .. } => {
+                self.forward_to_primaries(now, from, boot, &message);
+                self.failovers
+                    .values_mut()
+                    .for_each(|failover| failover.handle_message(from, message.clone()));
             }
-            Word::Over { count: ANSWER, calls } => {
+            Message::CallsEnded { id: NO_ACK_ID, calls } => {
                 for call in &calls {
-                    self.remember(*call, Ended { at: now, by: EndedBy::Told });
-                    self.left.remove(call);
+                    self.record_release(
+                        *call,
+                        ReleaseEntry { updated_at: now, status: ReleaseStatus::DeliveredByPeer },
+                    );
+                    self.delegated.remove(call);
                 }
-                self.news.push_back(News::Given(calls));
+                self.events.push_back(ReplicationEvent::ReleaseDelivered(calls));
             }
-            Word::Acknowledged { calls } => self.take_acknowledged(now, calls),
-            Word::Over { count, calls } => {
+            Message::ReleasesAcknowledged { calls } => self.apply_acknowledged(now, calls),
+            Message::CallsEnded { id, calls } => {
                 self.answer_for_acknowledged(from, &calls);
                 for call in &calls {
-                    let by = EndedBy::Announced(Teller { name: from.into(), boot });
-                    self.remember(*call, Ended { at: now, by });
+                    let status = ReleaseStatus::AnnouncedBy(PeerProcess { name: from.into(), boot });
+                    self.record_release(*call, ReleaseEntry { updated_at: now, status });
                 }
                 let precedence =
                     if from < self.name.as_str() { Precedence::Theirs } else { Precedence::Ours };
-                self.news.push_back(News::Over(calls, precedence));
-                self.take_question(Question { from: from.into(), count });
+                self.events.push_back(ReplicationEvent::EndedElsewhere(calls, precedence));
+                self.queue_peer_request(PeerRequest { from: from.into(), id });
             }
-            Word::OverHeard { count } => {
-                for telling in self.tellings.iter_mut().filter(|telling| telling.count == count) {
-                    telling.waiting.remove(from);
+            Message::CallsEndedAck { id } => {
+                for announcement in self.announcements.iter_mut().filter(|announcement| announcement.id == id)
+                {
+                    announcement.awaiting.remove(from);
                 }
-                self.finish_tellings();
+                self.finish_announcements();
             }
-            Word::Handover { count, stream, epoch, changes } => {
-                self.take_handover(from, count, stream, epoch, changes);
+            Message::Handover { id, stream, epoch, changes } => {
+                self.apply_handover(from, id, stream, epoch, changes);
             }
-            Word::HandedOver { count } => {
-                let (done, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.handings)
-                    .into_iter()
-                    .partition(|handing| handing.count == count);
-                self.handings = open;
-                for handing in done.into_iter().filter(|handing| handing.relinquished) {
-                    let calls = handing.changes.into_iter().map(|(call, _)| call).collect();
-                    self.news.push_back(News::Relinquished(calls));
+            Message::HandoverAck { id } => {
+                let (acknowledged, open): (Vec<_>, Vec<_>) =
+                    std::mem::take(&mut self.handovers).into_iter().partition(|handover| handover.id == id);
+                self.handovers = open;
+                for handover in acknowledged.into_iter().filter(|handover| handover.relinquished) {
+                    let calls = handover.changes.into_iter().map(|(call, _)| call).collect();
+                    self.events.push_back(ReplicationEvent::Relinquished(calls));
                 }
             }
-            word => {
-                if let Some(answer) = self.holder.received(now, from, boot, word) {
-                    self.words.push((from.into(), answer));
+            message => {
+                if let Some(answer) = self.holder.handle_message(now, from, boot, message) {
+                    self.outbox.push((from.into(), answer));
                 }
             }
         }
-        self.look_at_covered();
+        self.advance_commit();
     }
 
-    fn at_writers(&mut self, now: Millis, from: &str, boot: u64, word: &Word) {
-        for writer in [&mut self.own].into_iter().chain(self.adopted.values_mut()) {
-            writer.received(now, from, boot, word.clone());
+    fn forward_to_primaries(&mut self, now: Millis, from: &str, boot: u64, message: &Message) {
+        for primary in [&mut self.own].into_iter().chain(self.taken_over.values_mut()) {
+            primary.handle_message(now, from, boot, message.clone());
         }
     }
 
-    fn look_at_covered(&mut self) {
-        let before = self.covered;
-        while let Some((count, stream, number)) = self.waiting.front().copied() {
-            let writer =
-                if stream == self.own.stream() { Some(&self.own) } else { self.adopted.get(&stream) };
-            if writer.is_some_and(|writer| writer.covered() < number) {
+    fn advance_commit(&mut self) {
+        let before = self.committed;
+        while let Some((change, stream, sequence)) = self.uncommitted.front().copied() {
+            let primary =
+                if stream == self.own.stream() { Some(&self.own) } else { self.taken_over.get(&stream) };
+            if primary.is_some_and(|primary| primary.committed() < sequence) {
                 break;
             }
-            self.covered = count;
-            self.waiting.pop_front();
+            self.committed = change;
+            self.uncommitted.pop_front();
         }
-        if self.covered > before {
-            // One word for many, where nobody has asked meanwhile.
-            if let Some(News::Covered(covered)) = self.news.back_mut() {
-                *covered = self.covered;
+        if self.committed > before {
+            // One message for many, where nobody has asked meanwhile.
+            if let Some(ReplicationEvent::Committed(committed)) = self.events.back_mut() {
+                *committed = self.committed;
             } else {
-                self.news.push_back(News::Covered(self.covered));
+                self.events.push_back(ReplicationEvent::Committed(self.committed));
             }
         }
     }
 
     /// Says what is new, between ticks.
     pub fn poll(&mut self, now: Millis) {
-        self.tell_acknowledged();
-        if self.paused.is_none() {
-            for writer in [&mut self.own].into_iter().chain(self.adopted.values_mut()) {
-                self.words.extend(writer.poll(now));
+        self.send_acknowledged();
+        if self.shared_before_lease_loss.is_none() {
+            for primary in [&mut self.own].into_iter().chain(self.taken_over.values_mut()) {
+                self.outbox.extend(primary.poll(now));
             }
         }
-        self.look_at_covered();
+        self.advance_commit();
     }
 
     /// Time has passed, and the fleet is so.
-    pub fn tick(&mut self, now: Millis, known: &Known) {
-        self.settled.clone_from(&known.settled);
-        self.others = known.others.iter().map(|other| other.name.clone()).collect();
-        self.boots = known.others.iter().map(|other| (other.name.clone(), other.boot)).collect();
-        for stream in &known.settled {
-            self.holder.over(*stream);
+    pub fn tick(&mut self, now: Millis, view: &ClusterView) {
+        self.settled.clone_from(&view.settled);
+        self.peers = view.peers.iter().map(|peer| peer.name.clone()).collect();
+        self.boots = view.peers.iter().map(|peer| (peer.name.clone(), peer.boot)).collect();
+        for stream in &view.settled {
+            self.holder.close(*stream);
             self.settling.remove(stream);
-            if self.adopted.get(stream).is_some_and(|writer| writer.records().is_empty()) {
-                self.adopted.remove(stream);
+            if self.taken_over.get(stream).is_some_and(|primary| primary.records().is_empty()) {
+                self.taken_over.remove(stream);
             }
         }
-        self.look_at_authorities(now, known);
-        self.look_at_left(now);
-        self.tell(now, known);
-        let there = |name: &str, boot: u64| {
-            known.others.iter().any(|other| (other.name.as_str(), other.boot) == (name, boot))
+        self.apply_stream_owners(now, view);
+        self.review_delegated(now);
+        self.retransmit(now, view);
+        let is_alive = |name: &str, boot: u64| {
+            view.peers.iter().any(|peer| (peer.name.as_str(), peer.boot) == (name, boot))
         };
-        self.holder.sweep(there);
-        if !known.leased {
+        self.holder.sweep(is_alive);
+        if !view.has_lease {
             // What is new from now on nobody else hears of.
-            if self.paused.is_none() {
-                let calls = self.written().flat_map(|writer| writer.records().keys().copied()).collect();
-                self.paused = Some(calls);
+            if self.shared_before_lease_loss.is_none() {
+                let calls = self.primaries().flat_map(|primary| primary.records().keys().copied()).collect();
+                self.shared_before_lease_loss = Some(calls);
             }
         } else {
-            self.paused = None;
-            self.take_over(now, known);
-            if self.placed.is_none_or(|placed| now >= placed + PLACE) {
-                self.placed = Some(now);
-                self.place(now, known);
+            self.shared_before_lease_loss = None;
+            self.advance_failovers(now, view);
+            if self.placed_at.is_none_or(|placed_at| now >= placed_at + PLACEMENT_INTERVAL_MS) {
+                self.placed_at = Some(now);
+                self.place_replicas(now, view);
             }
         }
-        let short = self.paused.is_some() && self.limits.needed > 0 || !self.own.has_room(now);
-        if std::mem::replace(&mut self.short, short) != short {
-            self.news.push_back(News::Short(short));
+        let is_degraded = self.shared_before_lease_loss.is_some() && self.policy.required_acks > 0
+            || !self.own.has_capacity(now);
+        if std::mem::replace(&mut self.is_degraded, is_degraded) != is_degraded {
+            self.events.push_back(ReplicationEvent::Degraded(is_degraded));
         }
         self.poll(now);
     }
 
-    /// What others write by now is written here no more; what is this member's to write is taken over.
-    fn look_at_authorities(&mut self, now: Millis, known: &Known) {
-        for authority in &known.authorities {
-            let Authority { stream, name, boot, epoch } = authority;
+    /// What peers write by now is written here no more; what is this member's to write is taken over.
+    fn apply_stream_owners(&mut self, now: Millis, view: &ClusterView) {
+        for owner in &view.stream_owners {
+            let StreamOwner { stream, name, boot, epoch } = owner;
             self.holder.fence(*stream, *epoch);
             if *stream == self.own.stream() {
-                self.succeeded(now, authority);
+                self.give_up_own_stream(now, owner);
                 continue;
             }
-            let mine = name == &self.name && *boot == self.boot;
-            if self.adopted.get(stream).is_some_and(|writer| !mine || writer.epoch() < *epoch) {
-                if let Some(writer) = self.adopted.remove(stream) {
-                    self.hand_over(now, &writer, authority);
-                    let calls: BTreeSet<Call> = writer.records().keys().copied().collect();
+            let is_owner = name == &self.name && *boot == self.boot;
+            if self.taken_over.get(stream).is_some_and(|primary| !is_owner || primary.epoch() < *epoch) {
+                if let Some(primary) = self.taken_over.remove(stream) {
+                    self.hand_over(now, &primary, owner);
+                    let calls: BTreeSet<Call> = primary.records().keys().copied().collect();
                     self.routed.retain(|call, _| !calls.contains(call));
-                    self.renounce(calls);
+                    self.give_up_calls(calls);
                 }
             }
-            let under_way = self.takeovers.get(stream).map(Takeover::epoch);
-            if !mine {
-                self.takeovers.remove(stream);
-            } else if !self.adopted.contains_key(stream) && under_way.is_none_or(|known| known < *epoch) {
-                self.begin_takeover(now, known, *stream, *epoch);
+            let active_epoch = self.failovers.get(stream).map(Failover::epoch);
+            if !is_owner {
+                self.failovers.remove(stream);
+            } else if !self.taken_over.contains_key(stream)
+                && active_epoch.is_none_or(|active| active < *epoch)
+            {
+                self.begin_failover(now, view, *stream, *epoch);
             }
         }
     }
 
     /// This member's own stream has a successor: it was taken for lost.
-    fn succeeded(&mut self, now: Millis, by: &Authority) {
-        let all = || self.own.records().keys().copied().collect();
-        let exposed: BTreeSet<Call> = self.paused.clone().unwrap_or_else(all);
+    fn give_up_own_stream(&mut self, now: Millis, by: &StreamOwner) {
+        let all_calls = || self.own.records().keys().copied().collect();
+        let shared: BTreeSet<Call> = self.shared_before_lease_loss.clone().unwrap_or_else(all_calls);
         let next = StreamId(self.own.stream().0.rotate_left(23) ^ self.boot ^ by.epoch);
-        let old = std::mem::replace(&mut self.own, Writer::new(next, self.limits));
+        let old = std::mem::replace(&mut self.own, Primary::new(next, self.policy));
         self.successor = Some(self.hand_over(now, &old, by));
         // What came since nobody else could hear of it goes on here, and releases that are given here.
-        let kept = |call: &Call| !exposed.contains(call) || self.ended_here(*call);
-        let kept: Vec<(Call, Record)> = old
+        let stays_local = |call: &Call| !shared.contains(call) || self.is_released_locally(*call);
+        let retained: Vec<(Call, CallRecord)> = old
             .records()
             .iter()
-            .filter(|(call, _)| kept(call))
+            .filter(|(call, _)| stays_local(call))
             .map(|(call, record)| (*call, *record))
             .collect();
-        for (call, record) in kept {
-            self.own.note(call, Some(record));
+        for (call, record) in retained {
+            self.own.record_change(call, Some(record));
         }
-        self.waiting.retain(|(_, stream, _)| *stream != old.stream());
-        self.waiting.push_back((self.noted, next, self.own.number()));
-        self.placed = None;
-        self.renounce(exposed);
+        self.uncommitted.retain(|(_, stream, _)| *stream != old.stream());
+        self.uncommitted.push_back((self.recorded, next, self.own.sequence()));
+        self.placed_at = None;
+        self.give_up_calls(shared);
     }
 
-    fn renounce(&mut self, calls: BTreeSet<Call>) {
-        self.figures.renounced += 1;
-        self.news.push_back(News::Renounce(calls));
+    fn give_up_calls(&mut self, calls: BTreeSet<Call>) {
+        self.stats.ownership_losses += 1;
+        self.events.push_back(ReplicationEvent::OwnershipLost(calls));
     }
 
-    fn begin_takeover(&mut self, now: Millis, known: &Known, stream: StreamId, epoch: u64) {
-        let own = self.holder.copy(stream).map(|copy| Found {
-            epoch: copy.epoch(),
-            number: copy.number(),
-            records: copy.records().clone(),
+    fn begin_failover(&mut self, now: Millis, view: &ClusterView, stream: StreamId, epoch: u64) {
+        let own = self.holder.replica(stream).map(|replica| RecoveredStream {
+            epoch: replica.epoch(),
+            sequence: replica.sequence(),
+            records: replica.records().clone(),
         });
-        let others: Vec<String> = known.others.iter().map(|other| other.name.clone()).collect();
-        self.takeovers.insert(stream, Takeover::new(now, stream, epoch, own, &others));
-        self.figures.takeovers += 1;
+        let peers: Vec<String> = view.peers.iter().map(|peer| peer.name.clone()).collect();
+        self.failovers.insert(stream, Failover::new(now, stream, epoch, own, &peers));
+        self.stats.failovers += 1;
     }
 
-    fn take_over(&mut self, now: Millis, known: &Known) {
-        for takeover in self.takeovers.values_mut() {
-            takeover.waits_for(|name| known.others.iter().any(|other| other.name == name));
-            self.words.extend(takeover.poll(now));
+    fn advance_failovers(&mut self, now: Millis, view: &ClusterView) {
+        for failover in self.failovers.values_mut() {
+            failover.retain_alive(|name| view.peers.iter().any(|peer| peer.name == name));
+            self.outbox.extend(failover.poll(now));
         }
-        let ready = |(stream, takeover): (&StreamId, &Takeover)| {
-            takeover.found(now).map(|found| (*stream, takeover.epoch(), found))
+        let ready = |(stream, failover): (&StreamId, &Failover)| {
+            failover.recovered(now).map(|recovered| (*stream, failover.epoch(), recovered))
         };
-        let ready: Vec<_> = self.takeovers.iter().filter_map(ready).collect();
-        for (stream, epoch, found) in ready {
-            self.takeovers.remove(&stream);
-            let Found { number, records, .. } = found;
-            let mut writer = Writer::resume(stream, epoch, self.limits, number, records.clone());
-            let (over, adopted): (Vec<_>, Vec<_>) =
-                records.into_iter().partition(|(call, record)| self.is_over(*call, Some(*record)));
-            for (call, _) in over {
-                writer.note(call, None);
+        let ready: Vec<_> = self.failovers.iter().filter_map(ready).collect();
+        for (stream, epoch, recovered) in ready {
+            self.failovers.remove(&stream);
+            let RecoveredStream { sequence, records, .. } = recovered;
+            let mut primary = Primary::resume(stream, epoch, self.policy, sequence, records.clone());
+            let (ended, taken_over): (Vec<_>, Vec<_>) =
+                records.into_iter().partition(|(call, record)| self.is_ended_elsewhere(*call, Some(*record)));
+            for (call, _) in ended {
+                primary.record_change(call, None);
             }
-            self.routed.extend(adopted.iter().map(|(call, _)| (*call, stream)));
-            self.adopted.insert(stream, writer);
-            self.news.push_back(News::Adopt(adopted));
-            self.placed = None;
+            self.routed.extend(taken_over.iter().map(|(call, _)| (*call, stream)));
+            self.taken_over.insert(stream, primary);
+            self.events.push_back(ReplicationEvent::TakenOver(taken_over));
+            self.placed_at = None;
         }
         // Said until it is in the log.
-        for (stream, writer) in &self.adopted {
-            if writer.records().is_empty() {
+        for (stream, primary) in &self.taken_over {
+            if primary.records().is_empty() {
                 self.settling.entry(*stream).or_insert(0);
             }
         }
-        let open = |stream: &StreamId| known.authorities.iter().any(|authority| authority.stream == *stream);
-        self.settling.retain(|stream, _| open(stream));
+        let is_open = |stream: &StreamId| view.stream_owners.iter().any(|owner| owner.stream == *stream);
+        self.settling.retain(|stream, _| is_open(stream));
     }
 
     /// Streams of which all is kept, to be put into the log, each with its epoch.
-    pub fn settle(&mut self, now: Millis) -> Vec<(StreamId, u64)> {
+    pub fn streams_to_settle(&mut self, now: Millis) -> Vec<(StreamId, u64)> {
         let mut due = Vec::new();
-        for (stream, said) in &mut self.settling {
-            let writer = self.adopted.get(stream).filter(|writer| writer.records().is_empty());
-            if let Some(writer) = writer.filter(|_| *said == 0 || now >= *said + SETTLE) {
-                *said = now.max(1);
-                due.push((*stream, writer.epoch()));
+        for (stream, sent_at) in &mut self.settling {
+            let primary = self.taken_over.get(stream).filter(|primary| primary.records().is_empty());
+            if let Some(primary) =
+                primary.filter(|_| *sent_at == 0 || now >= *sent_at + SETTLE_RETRY_INTERVAL_MS)
+            {
+                *sent_at = now.max(1);
+                due.push((*stream, primary.epoch()));
             }
         }
         due
     }
 
-    fn place(&mut self, now: Millis, known: &Known) {
+    fn place_replicas(&mut self, now: Millis, view: &ClusterView) {
         self.avoided.retain(|_, until| now < *until);
-        for writer in [&self.own].into_iter().chain(self.adopted.values()) {
-            self.avoided.extend(writer.slow(now).map(|name| (name.to_string(), now + AVOID)));
+        for primary in [&self.own].into_iter().chain(self.taken_over.values()) {
+            self.avoided
+                .extend(primary.lagging(now).map(|name| (name.to_string(), now + LAGGING_HOLDER_BACKOFF_MS)));
         }
-        let pick = |pass: &dyn Fn(&Other) -> bool| -> Vec<Place> {
-            let fit = known.others.iter().filter(|other| pass(other));
-            fit.map(|other| Place { name: &other.name, zone: &other.zone, weight: 1.0, load: 0 }).collect()
+        let pick = |accepts: &dyn Fn(&PeerMember) -> bool| -> Vec<Candidate> {
+            let accepted = view.peers.iter().filter(|peer| accepts(peer));
+            accepted
+                .map(|peer| Candidate { name: &peer.name, zone: &peer.zone, weight: 1.0, load: 0 })
+                .collect()
         };
-        let best = pick(&|other| other.serves && !self.avoided.contains_key(&other.name));
-        let some = if best.len() >= self.limits.copies { best } else { pick(&|_| true) };
-        let boot =
-            |name: &str| known.others.iter().find(|other| other.name == name).map_or(0, |other| other.boot);
-        for writer in [&mut self.own].into_iter().chain(self.adopted.values_mut()) {
-            let chosen = holders(writer.stream().0, &self.zone, &some, self.limits.copies);
+        let preferred = pick(&|peer| peer.is_serving && !self.avoided.contains_key(&peer.name));
+        let candidates = if preferred.len() >= self.policy.replicas { preferred } else { pick(&|_| true) };
+        let boot = |name: &str| view.peers.iter().find(|peer| peer.name == name).map_or(0, |peer| peer.boot);
+        for primary in [&mut self.own].into_iter().chain(self.taken_over.values_mut()) {
+            let chosen = select_holders(primary.stream().0, &self.zone, &candidates, self.policy.replicas);
             let chosen: Vec<(String, u64)> =
                 chosen.into_iter().map(|name| (name.to_string(), boot(name))).collect();
-            writer.place(now, &chosen);
+            primary.set_holders(now, &chosen);
         }
     }
 
     /// What is said until it is heard.
-    fn tell(&mut self, now: Millis, known: &Known) {
-        let calls = std::mem::take(&mut self.passed_on);
-        for calls in calls.chunks(MOST_CALLS) {
-            self.count += 1;
-            let waiting = known.others.iter().map(|other| other.name.clone()).collect();
-            let (count, until) = (self.count, now + TOLD_FOR);
-            self.tellings.push_back(Telling { count, calls: calls.to_vec(), waiting, said: None, until });
+    fn retransmit(&mut self, now: Millis, view: &ClusterView) {
+        let calls = std::mem::take(&mut self.unannounced);
+        for calls in calls.chunks(MAX_CALLS_PER_MESSAGE) {
+            self.last_message_id += 1;
+            let awaiting = view.peers.iter().map(|peer| peer.name.clone()).collect();
+            let (id, expires_at) = (self.last_message_id, now + REQUEST_TIMEOUT_MS);
+            self.announcements.push_back(Announcement {
+                id,
+                calls: calls.to_vec(),
+                awaiting,
+                sent_at: None,
+                expires_at,
+            });
         }
-        self.tellings.drain(..self.tellings.len().saturating_sub(MOST_TELLINGS));
-        self.tellings.retain(|telling| now < telling.until);
-        for telling in &mut self.tellings {
-            // Nobody waits for the word of a member that is lost.
-            telling.waiting.retain(|name| known.others.iter().any(|other| other.name == *name));
+        self.announcements.drain(..self.announcements.len().saturating_sub(MAX_ANNOUNCEMENTS));
+        self.announcements.retain(|announcement| now < announcement.expires_at);
+        for announcement in &mut self.announcements {
+            // Nobody waits for the message of a member that is lost.
+            announcement.awaiting.retain(|name| view.peers.iter().any(|peer| peer.name == *name));
         }
-        self.finish_tellings();
-        let due = |said: Option<Millis>| said.is_none_or(|said| now >= said + AGAIN);
-        for telling in self.tellings.iter_mut().filter(|telling| due(telling.said)) {
-            telling.said = Some(now);
-            for to in &telling.waiting {
-                let word = Word::Over { count: telling.count, calls: telling.calls.clone() };
-                self.words.push((to.clone(), word));
+        self.finish_announcements();
+        let is_due =
+            |sent_at: Option<Millis>| sent_at.is_none_or(|sent_at| now >= sent_at + RETRANSMIT_INTERVAL_MS);
+        for announcement in self.announcements.iter_mut().filter(|announcement| is_due(announcement.sent_at))
+        {
+            announcement.sent_at = Some(now);
+            for to in &announcement.awaiting {
+                let message = Message::CallsEnded { id: announcement.id, calls: announcement.calls.clone() };
+                self.outbox.push((to.clone(), message));
             }
         }
-        self.expire_handings(now);
-        for handing in self.handings.iter_mut().filter(|handing| due(handing.said)) {
-            handing.said = Some(now);
-            let Handing { count, to, changes, .. } = handing;
+        self.expire_handovers(now);
+        for handover in self.handovers.iter_mut().filter(|handover| is_due(handover.sent_at)) {
+            handover.sent_at = Some(now);
+            let Handover { id, to, changes, .. } = handover;
             let Successor { name, stream, epoch } = to.clone();
-            let word = Word::Handover { count: *count, stream, epoch, changes: changes.clone() };
-            self.words.push((name, word));
+            let message = Message::Handover { id: *id, stream, epoch, changes: changes.clone() };
+            self.outbox.push((name, message));
         }
     }
 
--- a/copies/src/member/handover.rs
+++ b/copies/src/member/handover.rs
@@ -4,25 +4,26 @@
 use std::collections::BTreeSet;
 
 use super::{
-    Authority, Member, News, Question, Telling, ANSWER, LEFT_FOR, MOST_CALLS, MOST_QUESTIONS,
-    MOST_REMEMBERED, REMEMBER, TOLD_FOR,
+    Announcement, Member, PeerRequest, ReplicationEvent, StreamOwner, DELEGATION_TIMEOUT_MS,
+    MAX_CALLS_PER_MESSAGE, MAX_PEER_REQUESTS, MAX_RETAINED_RELEASES, NO_ACK_ID, RELEASE_RETENTION_MS,
+    REQUEST_TIMEOUT_MS,
 };
-use crate::words::Word;
-use crate::writer::Writer;
-use crate::{Call, Change, Millis, Record, StreamId};
+use crate::messages::Message;
+use crate::primary::Primary;
+use crate::{Call, CallRecord, Change, Millis, StreamId};
 
 #[derive(Debug)]
-pub(super) struct Handing {
-    pub(super) count: u64,
+pub(super) struct Handover {
+    pub(super) id: u64,
     pub(super) to: Successor,
     pub(super) changes: Vec<Change>,
     /// These calls were relinquished: the process waits to be told that they are the successor's no more.
     pub(super) relinquished: bool,
-    pub(super) said: Option<Millis>,
-    pub(super) until: Millis,
+    pub(super) sent_at: Option<Millis>,
+    pub(super) expires_at: Millis,
 }
 
-/// Who writes a stream after its writer was taken for lost.
+/// Who writes a stream after its primary was taken for lost.
 #[derive(Clone, Debug)]
 pub(super) struct Successor {
     pub(super) name: String,
@@ -32,154 +33,164 @@
 
 /// Who sees to it that a caller hears of the end of its call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum EndedBy {
+pub(super) enum ReleaseStatus {
     /// This member's process: it has told the caller, or is about to.
-    Here,
+    Local,
     /// Another member was about to.
-    Announced(Teller),
+    AnnouncedBy(PeerProcess),
     /// Another member has told the caller.
-    Told,
+    DeliveredByPeer,
     /// The caller has acknowledged it to another member, of which this one holds a replica.
     Acknowledged,
 }
 
 /// Another member, in one start of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Teller {
+pub(super) struct PeerProcess {
     pub(super) name: String,
     pub(super) boot: u64,
 }
 
 /// The end of a call.
 #[derive(Clone, Debug)]
-pub(super) struct Ended {
-    pub(super) at: Millis,
-    pub(super) by: EndedBy,
+pub(super) struct ReleaseEntry {
+    pub(super) updated_at: Millis,
+    pub(super) status: ReleaseStatus,
 }
 
 impl Member {
-    /// The process gives, or is about to give, the release of a call that may be another's: others must hear
+    /// The process gives, or is about to give, the release of a call that may be another's: peers must hear
     /// that it is over. Where a member that is there, and whose name comes first, has announced the same
     /// before, that one alone is asked.
-    pub fn passed_on(&mut self, now: Millis, call: Call) {
+    pub fn announce_release(&mut self, now: Millis, call: Call) {
         if self.is_acknowledged(call) {
-            return self.news.push_back(News::Given(vec![call]));
+            return self.events.push_back(ReplicationEvent::ReleaseDelivered(vec![call]));
         }
-        let precedes = |teller: &Teller| teller.name < self.name;
-        if let Some(teller) = self.living_teller(call).filter(precedes) {
-            self.count += 1;
-            let waiting = [teller.name.clone()].into();
-            let (count, until) = (self.count, now + TOLD_FOR);
-            self.tellings.push_back(Telling { count, calls: vec![call], waiting, said: None, until });
-            self.left.insert(call, (teller, now));
-        } else if !self.ended_here(call) {
-            self.remember(call, Ended { at: now, by: EndedBy::Here });
-            self.passed_on.push(call);
+        let precedes = |announcer: &PeerProcess| announcer.name < self.name;
+        if let Some(announcer) = self.living_announcer(call).filter(precedes) {
+            self.last_message_id += 1;
+            let awaiting = [announcer.name.clone()].into();
+            let (id, expires_at) = (self.last_message_id, now + REQUEST_TIMEOUT_MS);
+            self.announcements.push_back(Announcement {
+                id,
+                calls: vec![call],
+                awaiting,
+                sent_at: None,
+                expires_at,
+            });
+            self.delegated.insert(call, (announcer, now));
+        } else if !self.is_released_locally(call) {
+            self.record_release(call, ReleaseEntry { updated_at: now, status: ReleaseStatus::Local });
+            self.unannounced.push(call);
         }
     }
 
     /// Another member waits for what the process has to say of calls.
-    pub(super) fn take_question(&mut self, question: Question) {
-        if !self.questions.contains(&question) {
-            self.questions.push_back(question.clone());
-            if self.questions.len() > MOST_QUESTIONS {
-                self.questions.pop_front();
+    pub(super) fn queue_peer_request(&mut self, request: PeerRequest) {
+        if !self.peer_requests.contains(&request) {
+            self.peer_requests.push_back(request.clone());
+            if self.peer_requests.len() > MAX_PEER_REQUESTS {
+                self.peer_requests.pop_front();
             }
         }
-        self.news.push_back(News::Confirm(question));
+        self.events.push_back(ReplicationEvent::Barrier(request));
     }
 
-    /// The process has carried out all that preceded this question: what it has to say of it is on its way.
-    pub fn confirm(&mut self, question: Question) {
-        self.questions.retain(|open| *open != question);
-        self.words.push((question.from, Word::OverHeard { count: question.count }));
+    /// The process has carried out all that preceded this request: what it has to say of it is on its way.
+    pub fn confirm(&mut self, request: PeerRequest) {
+        self.peer_requests.retain(|open| *open != request);
+        self.outbox.push((request.from, Message::CallsEndedAck { id: request.id }));
     }
 
     /// The member that has announced the end of a call, where it is there.
-    fn living_teller(&self, call: Call) -> Option<Teller> {
-        match &self.overs.get(&call)?.by {
-            EndedBy::Announced(teller) => Some(teller.clone()).filter(|teller| self.is_there(teller)),
-            EndedBy::Here | EndedBy::Told | EndedBy::Acknowledged => None,
+    fn living_announcer(&self, call: Call) -> Option<PeerProcess> {
+        match &self.releases.get(&call)?.status {
+            ReleaseStatus::AnnouncedBy(announcer) => {
+                Some(announcer.clone()).filter(|announcer| self.is_alive(announcer))
+            }
+            ReleaseStatus::Local | ReleaseStatus::DeliveredByPeer | ReleaseStatus::Acknowledged => None,
         }
     }
 
-    fn is_there(&self, teller: &Teller) -> bool {
-        self.boots.get(&teller.name) == Some(&teller.boot)
+    fn is_alive(&self, announcer: &PeerProcess) -> bool {
+        self.boots.get(&announcer.name) == Some(&announcer.boot)
     }
 
     /// Decides on releases that were left to members that had announced them: who is lost gives none, and who
     /// is there for longer than a lost one would be taken for it does.
-    pub(super) fn look_at_left(&mut self, now: Millis) {
-        for (call, (teller, since)) in std::mem::take(&mut self.left) {
-            if !self.is_there(&teller) {
-                self.passed_on(now, call);
-                if !self.left.contains_key(&call) {
-                    self.news.push_back(News::AllTold(vec![call]));
+    pub(super) fn review_delegated(&mut self, now: Millis) {
+        for (call, (announcer, since)) in std::mem::take(&mut self.delegated) {
+            if !self.is_alive(&announcer) {
+                self.announce_release(now, call);
+                if !self.delegated.contains_key(&call) {
+                    self.events.push_back(ReplicationEvent::AllNotified(vec![call]));
                 }
-            } else if now >= since + LEFT_FOR {
-                self.news.push_back(News::LeftTo(vec![call]));
+            } else if now >= since + DELEGATION_TIMEOUT_MS {
+                self.events.push_back(ReplicationEvent::DelegatedToPeer(vec![call]));
             } else {
-                self.left.insert(call, (teller, since));
+                self.delegated.insert(call, (announcer, since));
             }
         }
     }
 
-    /// Tells the process of calls whose end all others have confirmed.
-    pub(super) fn finish_tellings(&mut self) {
-        let all = std::mem::take(&mut self.tellings).into_iter();
-        let (told, open): (Vec<Telling>, Vec<Telling>) = all.partition(|telling| telling.waiting.is_empty());
-        self.tellings = open.into();
-        for telling in told {
+    /// Tells the process of calls whose end all peers have confirmed.
+    pub(super) fn finish_announcements(&mut self) {
+        let all = std::mem::take(&mut self.announcements).into_iter();
+        let (completed, open): (Vec<Announcement>, Vec<Announcement>) =
+            all.partition(|announcement| announcement.awaiting.is_empty());
+        self.announcements = open.into();
+        for announcement in completed {
             let calls: Vec<Call> =
-                telling.calls.into_iter().filter(|call| !self.left.contains_key(call)).collect();
-            self.news.push_back(News::AllTold(calls));
+                announcement.calls.into_iter().filter(|call| !self.delegated.contains_key(call)).collect();
+            self.events.push_back(ReplicationEvent::AllNotified(calls));
         }
     }
 
     /// The process has told the caller of a call that it is over, which another member is about to do: it is
-    /// told so once, since it waits for that for less time than a second word would take. Whoever asks is
+    /// told so once, since it waits for that for less time than a second message would take. Whoever asks is
     /// told also where it is not among the members that are alive yet, as one that has just woken.
-    pub fn given(&mut self, now: Millis, call: Call) {
-        self.remember(call, Ended { at: now, by: EndedBy::Here });
-        let asking = self.questions.iter().map(|question| &question.from);
-        let tell: BTreeSet<&String> = self.others.iter().chain(asking).collect();
-        for to in tell {
-            let word = Word::Over { count: ANSWER, calls: vec![call] };
-            self.words.push((to.clone(), word));
+    pub fn release_delivered(&mut self, now: Millis, call: Call) {
+        self.record_release(call, ReleaseEntry { updated_at: now, status: ReleaseStatus::Local });
+        let requesters = self.peer_requests.iter().map(|request| &request.from);
+        let recipients: BTreeSet<&String> = self.peers.iter().chain(requesters).collect();
+        for to in recipients {
+            let message = Message::CallsEnded { id: NO_ACK_ID, calls: vec![call] };
+            self.outbox.push((to.clone(), message));
         }
     }
 
     /// The caller of a call has acknowledged its release.
-    pub fn acknowledged(&mut self, call: Call) {
+    pub fn release_acknowledged(&mut self, call: Call) {
         let stream = self.routed.get(&call).copied().unwrap_or(self.own.stream());
         self.acknowledged.entry(stream).or_default().push(call);
     }
 
     /// Tells those that hold a stream of the calls whose releases were acknowledged.
-    pub(super) fn tell_acknowledged(&mut self) {
+    pub(super) fn send_acknowledged(&mut self) {
         for (stream, calls) in std::mem::take(&mut self.acknowledged) {
-            let writer =
-                if stream == self.own.stream() { Some(&self.own) } else { self.adopted.get(&stream) };
-            for holder in writer.into_iter().flat_map(Writer::holders) {
-                for calls in calls.chunks(MOST_CALLS) {
-                    let word = Word::Acknowledged { calls: calls.to_vec() };
-                    self.words.push((holder.to_string(), word));
+            let primary =
+                if stream == self.own.stream() { Some(&self.own) } else { self.taken_over.get(&stream) };
+            for holder in primary.into_iter().flat_map(Primary::holders) {
+                for calls in calls.chunks(MAX_CALLS_PER_MESSAGE) {
+                    let message = Message::ReleasesAcknowledged { calls: calls.to_vec() };
+                    self.outbox.push((holder.to_string(), message));
                 }
             }
         }
     }
 
-    /// The writer of a stream that is held here says which releases were acknowledged. The process is told of
+    /// The primary of a stream that is held here says which releases were acknowledged. The process is told of
     /// those that it is about to give itself.
-    pub(super) fn take_acknowledged(&mut self, now: Millis, calls: Vec<Call>) {
-        let (own, others): (Vec<Call>, Vec<Call>) =
-            calls.into_iter().partition(|call| self.ended_here(*call) || self.left.contains_key(call));
+    pub(super) fn apply_acknowledged(&mut self, now: Millis, calls: Vec<Call>) {
+        let (own, others): (Vec<Call>, Vec<Call>) = calls
+            .into_iter()
+            .partition(|call| self.is_released_locally(*call) || self.delegated.contains_key(call));
         for call in own.iter().chain(&others) {
-            self.remember(*call, Ended { at: now, by: EndedBy::Acknowledged });
-            self.left.remove(call);
+            self.record_release(*call, ReleaseEntry { updated_at: now, status: ReleaseStatus::Acknowledged });
+            self.delegated.remove(call);
         }
         if !own.is_empty() {
-            self.news.push_back(News::Given(own));
+            self.events.push_back(ReplicationEvent::ReleaseDelivered(own));
         }
     }
 
@@ -188,126 +199,137 @@
     pub(super) fn answer_for_acknowledged(&mut self, from: &str, calls: &[Call]) {
         let calls: Vec<Call> = calls.iter().copied().filter(|call| self.is_acknowledged(*call)).collect();
         if !calls.is_empty() {
-            self.words.push((from.into(), Word::Over { count: ANSWER, calls }));
+            self.outbox.push((from.into(), Message::CallsEnded { id: NO_ACK_ID, calls }));
         }
     }
 
     fn is_acknowledged(&self, call: Call) -> bool {
-        self.overs.get(&call).is_some_and(|ended| ended.by == EndedBy::Acknowledged)
+        self.releases.get(&call).is_some_and(|entry| entry.status == ReleaseStatus::Acknowledged)
     }
 
     /// Calls that were given up to the successor of this member's own stream, and whose callers were told
     /// nothing here: the successor is asked to drop them, and says which of them it has ended.
     pub fn relinquish(&mut self, now: Millis, calls: Vec<Call>) {
         let Some(successor) = self.successor.clone() else {
-            return self.news.push_back(News::Relinquished(calls));
+            return self.events.push_back(ReplicationEvent::Relinquished(calls));
         };
-        for calls in calls.chunks(MOST_CALLS) {
+        for calls in calls.chunks(MAX_CALLS_PER_MESSAGE) {
             let changes = calls.iter().map(|call| (*call, None)).collect();
-            self.hand(now, &successor, changes, true);
+            self.queue_handover(now, &successor, changes, true);
         }
     }
 
-    fn hand(&mut self, now: Millis, to: &Successor, changes: Vec<Change>, relinquished: bool) {
-        self.count += 1;
-        let (count, to, until) = (self.count, to.clone(), now + TOLD_FOR);
-        self.handings.push(Handing { count, to, changes, relinquished, said: None, until });
+    fn queue_handover(&mut self, now: Millis, to: &Successor, changes: Vec<Change>, relinquished: bool) {
+        self.last_message_id += 1;
+        let (id, to, expires_at) = (self.last_message_id, to.clone(), now + REQUEST_TIMEOUT_MS);
+        self.handovers.push(Handover { id, to, changes, relinquished, sent_at: None, expires_at });
     }
 
-    pub(super) fn ended_here(&self, call: Call) -> bool {
-        self.overs.get(&call).is_some_and(|ended| ended.by == EndedBy::Here)
+    pub(super) fn is_released_locally(&self, call: Call) -> bool {
+        self.releases.get(&call).is_some_and(|entry| entry.status == ReleaseStatus::Local)
     }
 
     /// Whether the end of a call with this record is another's to tell, or was told. What a member that is
     /// lost was about to tell, and had not told by its own record, it did not tell.
-    pub(super) fn is_over(&self, call: Call, record: Option<Record>) -> bool {
-        let Some(ended) = self.overs.get(&call) else { return false };
-        let is_pending = matches!(record, Some(Record::Owed { .. }));
-        match &ended.by {
-            EndedBy::Announced(teller) => !is_pending || self.is_there(teller),
+    pub(super) fn is_ended_elsewhere(&self, call: Call, record: Option<CallRecord>) -> bool {
+        let Some(entry) = self.releases.get(&call) else { return false };
+        let is_pending = matches!(record, Some(CallRecord::ReleasePending { .. }));
+        match &entry.status {
+            ReleaseStatus::AnnouncedBy(announcer) => !is_pending || self.is_alive(announcer),
             // The process knows whether it has told the caller, or has left that to another since.
-            EndedBy::Here => !is_pending,
-            EndedBy::Told | EndedBy::Acknowledged => true,
+            ReleaseStatus::Local => !is_pending,
+            ReleaseStatus::DeliveredByPeer | ReleaseStatus::Acknowledged => true,
         }
     }
 
-    pub(super) fn remember(&mut self, call: Call, ended: Ended) {
-        let now = ended.at;
-        match self.overs.get_mut(&call) {
+    pub(super) fn record_release(&mut self, call: Call, entry: ReleaseEntry) {
+        let now = entry.updated_at;
+        match self.releases.get_mut(&call) {
             None => {
-                self.overs.insert(call, ended);
-                self.over_order.push_back(call);
+                self.releases.insert(call, entry);
+                self.release_order.push_back(call);
+            }
+            Some(before) if matches!(before.status, ReleaseStatus::Local | ReleaseStatus::Acknowledged) => {
+                before.updated_at = now
+            }
+            Some(before)
+                if before.status == ReleaseStatus::DeliveredByPeer
+                    && entry.status != ReleaseStatus::Local =>
+            {
+                before.updated_at = now
             }
-            Some(before) if matches!(before.by, EndedBy::Here | EndedBy::Acknowledged) => before.at = now,
-            Some(before) if before.by == EndedBy::Told && ended.by != EndedBy::Here => before.at = now,
             // Of two members that have announced it the one gives it whose name comes first.
-            Some(Ended { at, by: EndedBy::Announced(first) })
-                if matches!(&ended.by, EndedBy::Announced(next) if first.name < next.name)
+            Some(ReleaseEntry { updated_at, status: ReleaseStatus::AnnouncedBy(first) })
+                if matches!(&entry.status, ReleaseStatus::AnnouncedBy(next) if first.name < next.name)
                     && self.boots.get(&first.name) == Some(&first.boot) =>
             {
-                *at = now;
+                *updated_at = now;
             }
-            Some(before) => *before = ended,
+            Some(before) => *before = entry,
         }
-        while let Some(oldest) = self.over_order.front().copied() {
-            let old = self.overs.get(&oldest).is_none_or(|ended| now > ended.at + REMEMBER);
-            if !old && self.over_order.len() <= MOST_REMEMBERED {
+        while let Some(oldest) = self.release_order.front().copied() {
+            let is_expired =
+                self.releases.get(&oldest).is_none_or(|entry| now > entry.updated_at + RELEASE_RETENTION_MS);
+            if !is_expired && self.release_order.len() <= MAX_RETAINED_RELEASES {
                 break;
             }
-            self.over_order.pop_front();
-            self.overs.remove(&oldest);
+            self.release_order.pop_front();
+            self.releases.remove(&oldest);
         }
     }
 
-    /// What the writer of a stream that this member took over noted last. It says it again until what the
+    /// What the primary of a stream that this member took over recorded last. It says it again until what the
     /// holders had is taken up here.
-    pub(super) fn take_handover(
+    pub(super) fn apply_handover(
         &mut self,
         from: &str,
-        count: u64,
+        id: u64,
         stream: StreamId,
         epoch: u64,
         changes: Vec<Change>,
     ) {
-        let taken = self.adopted.get(&stream).is_some_and(|writer| writer.epoch() == epoch);
-        if !taken && !self.settling.contains_key(&stream) && !self.settled.contains(&stream) {
+        let has_taken_over = self.taken_over.get(&stream).is_some_and(|primary| primary.epoch() == epoch);
+        if !has_taken_over && !self.settling.contains_key(&stream) && !self.settled.contains(&stream) {
             return;
         }
-        // Ahead of the confirmation, so that the other one does not end them too.
+        // Ahead of the confirmation, so that the peer one does not end them too.
         let dropped = changes.iter().filter(|(_, record)| record.is_none()).map(|(call, _)| *call);
-        let calls: Vec<Call> = dropped.filter(|call| self.ended_here(*call)).collect();
+        let calls: Vec<Call> = dropped.filter(|call| self.is_released_locally(*call)).collect();
         if !calls.is_empty() {
-            self.words.push((from.into(), Word::Over { count: ANSWER, calls }));
+            self.outbox.push((from.into(), Message::CallsEnded { id: NO_ACK_ID, calls }));
         }
-        let calls = changes.into_iter().filter(|(call, record)| !self.is_over(*call, *record));
-        self.news.push_back(News::Handed(calls.collect()));
-        self.words.push((from.into(), Word::HandedOver { count }));
+        let calls = changes.into_iter().filter(|(call, record)| !self.is_ended_elsewhere(*call, *record));
+        self.events.push_back(ReplicationEvent::LateChanges(calls.collect()));
+        self.outbox.push((from.into(), Message::HandoverAck { id }));
     }
 
-    pub(super) fn hand_over(&mut self, now: Millis, old: &Writer, by: &Authority) -> Successor {
-        let exposed = self.paused.as_ref();
-        let known = |call: &Call| exposed.is_none_or(|calls| calls.contains(call));
-        let changes: Vec<Change> = old.unsure();
+    pub(super) fn hand_over(&mut self, now: Millis, old: &Primary, by: &StreamOwner) -> Successor {
+        let shared = self.shared_before_lease_loss.as_ref();
+        let is_shared = |call: &Call| shared.is_none_or(|calls| calls.contains(call));
+        let changes: Vec<Change> = old.unconfirmed_changes();
         // An attempt is called off here; and of calls that began without a lease nobody else has heard.
-        let told = changes.into_iter().filter(|(call, record)| {
-            !matches!(record, Some(Record::Out { .. })) && (record.is_none() || known(call))
+        let relevant = changes.into_iter().filter(|(call, record)| {
+            !matches!(record, Some(CallRecord::AttemptPending { .. }))
+                && (record.is_none() || is_shared(call))
         });
         // Of what is given here all members are told that it is over.
-        let changes: Vec<Change> = told.filter(|(call, _)| !self.ended_here(*call)).collect();
+        let changes: Vec<Change> = relevant.filter(|(call, _)| !self.is_released_locally(*call)).collect();
         let successor = Successor { name: by.name.clone(), stream: old.stream(), epoch: by.epoch };
-        for changes in changes.chunks(MOST_CALLS) {
-            self.hand(now, &successor, changes.to_vec(), false);
+        for changes in changes.chunks(MAX_CALLS_PER_MESSAGE) {
+            self.queue_handover(now, &successor, changes.to_vec(), false);
         }
         successor
     }
 
     /// What a successor has not confirmed by now stays its own.
-    pub(super) fn expire_handings(&mut self, now: Millis) {
-        let (open, late): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.handings).into_iter().partition(|handing| now < handing.until);
-        self.handings = open;
-        for handing in late.into_iter().filter(|handing| handing.relinquished) {
-            self.news.push_back(News::Given(handing.changes.into_iter().map(|(call, _)| call).collect()));
+    pub(super) fn expire_handovers(&mut self, now: Millis) {
+        let (open, expired): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.handovers).into_iter().partition(|handover| now < handover.expires_at);
+        self.handovers = open;
+        for handover in expired.into_iter().filter(|handover| handover.relinquished) {
+            self.events.push_back(ReplicationEvent::ReleaseDelivered(
+                handover.changes.into_iter().map(|(call, _)| call).collect(),
+            ));
         }
     }
 }
--- a/copies/src/words.rs
+++ b/copies/src/messages.rs
@@ -3,42 +3,42 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Call, Change, Record, StreamId};
+use crate::{Call, CallRecord, Change, StreamId};
 
 /// Records of one word, at most.
-pub const MOST_RECORDS: usize = 512;
+pub const MAX_RECORDS_PER_MESSAGE: usize = 512;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// Of the writer: what follows `after`, in order.
-    Changes {
+    Append {
         stream: StreamId,
         epoch: u64,
         after: u64,
         changes: Vec<Change>,
     },
-    /// Of the writer: all that there is at `number`, in parts.
-    Whole {
+    /// Of the writer: all that there is at `sequence`, in parts.
+    Snapshot {
         stream: StreamId,
         epoch: u64,
-        number: u64,
+        sequence: u64,
         part: Part,
     },
     /// Of the writer: others hold it now.
-    Drop {
+    Discard {
         stream: StreamId,
         epoch: u64,
     },
-    /// Of a holder: it has everything up to `number`, 0 for nothing at all. `part`: of a whole that is on its
-    /// way, so many parts came.
-    Holds {
+    /// Of a holder: it has everything up to `sequence`, 0 for nothing at all. `part`: of a whole that is on its
+    /// way, so many parts received.
+    Ack {
         stream: StreamId,
         epoch: u64,
-        number: u64,
-        parts: u32,
+        sequence: u64,
+        received_parts: u32,
     },
     /// Of a holder: it has no room.
-    Full {
+    CapacityExceeded {
         stream: StreamId,
         epoch: u64,
     },
@@ -57,31 +57,31 @@
     Fetched {
         stream: StreamId,
         epoch: u64,
-        held: u64,
-        number: u64,
+        replica_epoch: u64,
+        sequence: u64,
         part: Part,
     },
     /// Of whoever gave a release of a call that it did not have: these are over, wherever they stand.
-    Over {
-        count: u64,
+    CallsEnded {
+        id: u64,
         calls: Vec<Call>,
     },
-    OverHeard {
-        count: u64,
+    CallsEndedAck {
+        id: u64,
     },
     /// Of a writer that was succeeded by that epoch: what it noted last, which its holders may not have.
     Handover {
-        count: u64,
+        id: u64,
         stream: StreamId,
         epoch: u64,
         changes: Vec<Change>,
     },
-    HandedOver {
-        count: u64,
+    HandoverAck {
+        id: u64,
     },
     /// Of the writer of a stream, ahead of the changes that end with that: the callers of these calls have
     /// acknowledged their releases.
-    Acknowledged {
+    ReleasesAcknowledged {
         calls: Vec<Call>,
     },
 }
@@ -89,59 +89,60 @@
 /// One of several parts of a whole, in the order of calls.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    pub place: u32,
-    pub of: u32,
-    pub records: Vec<(Call, Record)>,
+    pub index: u32,
+    pub total: u32,
+    pub records: Vec<(Call, CallRecord)>,
 }
 
 impl Part {
     /// All parts of what there is; one empty part where there is nothing.
-    pub fn all<'a>(records: impl IntoIterator<Item = (&'a Call, &'a Record)>) -> Vec<Part> {
-        let all: Vec<(Call, Record)> = records.into_iter().map(|(call, record)| (*call, *record)).collect();
-        let of = all.len().div_ceil(MOST_RECORDS).max(1) as u32;
-        let part = |place: u32| {
-            let from = place as usize * MOST_RECORDS;
-            let until = (from + MOST_RECORDS).min(all.len());
-            Part { place, of, records: all[from..until].to_vec() }
+    pub fn all<'a>(records: impl IntoIterator<Item = (&'a Call, &'a CallRecord)>) -> Vec<Part> {
+        let all: Vec<(Call, CallRecord)> =
+            records.into_iter().map(|(call, record)| (*call, *record)).collect();
+        let total = all.len().div_ceil(MAX_RECORDS_PER_MESSAGE).max(1) as u32;
+        let part = |index: u32| {
+            let from = index as usize * MAX_RECORDS_PER_MESSAGE;
+            let until = (from + MAX_RECORDS_PER_MESSAGE).min(all.len());
+            Part { index, total, records: all[from..until].to_vec() }
         };
-        (0..of).map(part).collect()
+        (0..total).map(part).collect()
     }
 }
 
 /// Gathers the parts of a whole as they come, in order; what is out of order is asked for again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Gather {
-    pub number: u64,
-    of: u32,
-    came: u32,
-    records: Vec<(Call, Record)>,
+pub struct PartAssembler {
+    pub sequence: u64,
+    total: u32,
+    received: u32,
+    records: Vec<(Call, CallRecord)>,
 }
 
-impl Gather {
-    pub fn new(number: u64, of: u32) -> Self {
-        Gather { number, of, came: 0, records: Vec::new() }
+impl PartAssembler {
+    pub fn new(sequence: u64, total: u32) -> Self {
+        PartAssembler { sequence, total, received: 0, records: Vec::new() }
     }
 
     /// Whether a part belongs to this whole.
-    pub fn fits(&self, number: u64, part: &Part) -> bool {
-        (self.number, self.of) == (number, part.of)
+    pub fn accepts(&self, sequence: u64, part: &Part) -> bool {
+        (self.sequence, self.total) == (sequence, part.total)
     }
 
-    /// Parts that came, in order.
-    pub fn came(&self) -> u32 {
-        self.came
+    /// Parts that received, in order.
+    pub fn received(&self) -> u32 {
+        self.received
     }
 
     /// Takes the next part; whether it was the last one. Others change nothing.
-    pub fn take(&mut self, part: Part) -> bool {
-        if part.place == self.came && self.came < self.of {
-            self.came += 1;
+    pub fn push(&mut self, part: Part) -> bool {
+        if part.index == self.received && self.received < self.total {
+            self.received += 1;
             self.records.extend(part.records);
         }
-        self.came == self.of
+        self.received == self.total
     }
 
-    pub fn records(self) -> Vec<(Call, Record)> {
+    pub fn records(self) -> Vec<(Call, CallRecord)> {
         self.records
     }
 }
--- a/copies/tests/placement.rs
+++ b/copies/tests/placement.rs
@@ -2,48 +2,48 @@
 
 use std::collections::BTreeMap;
 
-use steprelay_copies::placement::{holders, Place};
+use steprelay_copies::placement::{select_holders, Candidate};
 
 fn names(count: usize) -> Vec<(String, String)> {
     (0..count).map(|place| (format!("n{place}"), format!("z{}", place % 3))).collect()
 }
 
-fn places(names: &[(String, String)]) -> Vec<Place<'_>> {
-    names.iter().map(|(name, zone)| Place { name, zone, weight: 1.0, load: 0 }).collect()
+fn candidates(names: &[(String, String)]) -> Vec<Candidate<'_>> {
+    names.iter().map(|(name, zone)| Candidate { name, zone, weight: 1.0, load: 0 }).collect()
 }
 
 #[test]
 fn holders_lie_in_other_zones_first_and_are_spread() {
     let names = names(9);
-    let places = places(&names);
+    let candidates = candidates(&names);
     let mut held: BTreeMap<&str, usize> = BTreeMap::new();
     for stream in 0..9_000u64 {
         let own = format!("z{}", stream % 3);
-        let chosen = holders(stream, &own, &places, 2);
+        let chosen = select_holders(stream, &own, &candidates, 2);
         let zones: Vec<&str> = chosen
             .iter()
-            .map(|name| places.iter().find(|place| place.name == *name).expect("a place").zone)
+            .map(|name| candidates.iter().find(|place| place.name == *name).expect("a place").zone)
             .collect();
         assert!(zones[0] != zones[1] && !zones.contains(&own.as_str()), "{own} {zones:?}");
         chosen.into_iter().for_each(|name| *held.entry(name).or_default() += 1);
     }
     assert!(held.values().all(|count| (1_800..2_200).contains(count)), "{held:?}");
     // More copies than zones, and than members.
-    assert_eq!(holders(1, "z0", &places, 4).len(), 4);
-    assert_eq!(holders(1, "z0", &places[..1], 4), ["n0"]);
-    assert!(holders(1, "z0", &[], 2).is_empty());
+    assert_eq!(select_holders(1, "z0", &candidates, 4).len(), 4);
+    assert_eq!(select_holders(1, "z0", &candidates[..1], 4), ["n0"]);
+    assert!(select_holders(1, "z0", &[], 2).is_empty());
 }
 
 /// One member more takes its part from all others, and nothing else moves; by modulo nearly all moves.
 #[test]
 fn one_member_more_moves_its_part_alone() {
     let names = names(10);
-    let (all, before) = (places(&names), places(&names[..9]));
+    let (all, before) = (candidates(&names), candidates(&names[..9]));
     let (mut moved, mut by_modulo) = (0, 0);
     let streams = 10_000;
     for stream in 0..streams {
-        let now = holders(stream, "z9", &all, 1);
-        let then = holders(stream, "z9", &before, 1);
+        let now = select_holders(stream, "z9", &all, 1);
+        let then = select_holders(stream, "z9", &before, 1);
         assert!(now == then || now == ["n9"], "{then:?} to {now:?}");
         moved += usize::from(now != then);
         by_modulo += usize::from(stream % 10 != stream % 9);
@@ -55,12 +55,12 @@
 #[test]
 fn weights_and_loads_count() {
     let names = names(3);
-    let mut places = places(&names);
-    places[0].weight = 2.0;
-    let first = |places: &[Place], name: &str| {
-        (0..4_000).filter(|stream| holders(*stream, "z9", places, 1) == [name]).count()
+    let mut candidates = candidates(&names);
+    candidates[0].weight = 2.0;
+    let first = |candidates: &[Candidate], name: &str| {
+        (0..4_000).filter(|stream| select_holders(*stream, "z9", candidates, 1) == [name]).count()
     };
-    assert!((1_900..2_100).contains(&first(&places, "n0")), "half of the weight");
-    (places[0].load, places[1].load, places[2].load) = (60_000, 1_000, 1_000);
-    assert_eq!(first(&places, "n0"), 0, "it holds too much already");
+    assert!((1_900..2_100).contains(&first(&candidates, "n0")), "half of the weight");
+    (candidates[0].load, candidates[1].load, candidates[2].load) = (60_000, 1_000, 1_000);
+    assert_eq!(first(&candidates, "n0"), 0, "it holds too much already");
 }
--- a/rig/tests/delivery/council.rs
+++ b/rig/tests/delivery/council.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use steprelay_copies::member::Authority;
+use steprelay_copies::member::StreamOwner;
 use steprelay_copies::{Millis, StreamId};
 
 /// A lease runs for so long from when it was asked for, which is so often.
@@ -25,7 +25,7 @@
 pub struct Council {
     /// Who began each stream, and who has written it since.
     begun: BTreeMap<StreamId, Start>,
-    authorities: BTreeMap<StreamId, Authority>,
+    stream_owners: BTreeMap<StreamId, StreamOwner>,
     settled: Vec<StreamId>,
     renewed: BTreeMap<u64, Millis>,
     /// Starts that have said in order that they go.
@@ -33,8 +33,8 @@
 }
 
 impl Council {
-    pub fn authorities(&self) -> Vec<Authority> {
-        self.authorities.values().cloned().collect()
+    pub fn stream_owners(&self) -> Vec<StreamOwner> {
+        self.stream_owners.values().cloned().collect()
     }
 
     pub fn settled(&self) -> Vec<StreamId> {
@@ -43,7 +43,7 @@
 
     /// A member asks for its lease; until when it has it, where all that it writes is its own.
     pub fn renew(&mut self, now: Millis, start: &Start, writes: &[(StreamId, u64)]) -> Option<Millis> {
-        let own = |(stream, epoch): &(StreamId, u64)| match self.authorities.get(stream) {
+        let own = |(stream, epoch): &(StreamId, u64)| match self.stream_owners.get(stream) {
             Some(by) => (by.boot, by.epoch) == (start.boot, *epoch),
             None => *epoch == 0 && !self.settled.contains(stream),
         };
@@ -58,8 +58,8 @@
     }
 
     pub fn settle(&mut self, stream: StreamId, epoch: u64) {
-        if self.authorities.get(&stream).is_some_and(|by| by.epoch == epoch) {
-            self.authorities.remove(&stream);
+        if self.stream_owners.get(&stream).is_some_and(|by| by.epoch == epoch) {
+            self.stream_owners.remove(&stream);
             self.begun.remove(&stream);
             self.settled.push(stream);
         }
@@ -74,7 +74,7 @@
     pub fn succeed(&mut self, now: Millis, there: &[Start]) -> Vec<u64> {
         let mut lost = Vec::new();
         for (stream, begun) in &self.begun {
-            let by = self.authorities.get(stream);
+            let by = self.stream_owners.get(stream);
             let (writer, epoch) = by.map_or((begun.boot, 0), |by| (by.boot, by.epoch));
             let went = self.left.contains(&writer);
             let renewed = self.renewed.get(&writer).copied().unwrap_or(0);
@@ -84,8 +84,8 @@
             }
             if let Some(next) = there.iter().find(|start| start.boot != writer) {
                 let Start { name, boot } = next.clone();
-                let by = Authority { stream: *stream, name, boot, epoch: epoch + 1 };
-                self.authorities.insert(*stream, by);
+                let by = StreamOwner { stream: *stream, name, boot, epoch: epoch + 1 };
+                self.stream_owners.insert(*stream, by);
                 lost.push(writer);
             }
         }
--- a/rig/tests/delivery/net/owner.rs
+++ b/rig/tests/delivery/net/owner.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use steprelay_copies::member::News;
+use steprelay_copies::member::ReplicationEvent;
 use steprelay_core::{ClientId, Core, Effect, LinkLoss, NotSent, ReleaseCause, Request};
 use steprelay_decisions::{CallId, Cause, Micros, Report, ServerId};
 
@@ -38,7 +38,7 @@
     Answered(LinkId, CallId),
     Ended(LinkId, CallId, ReleaseCause),
     Reported(LinkId, Report),
-    Copies(News),
+    Copies(ReplicationEvent),
     Stop,
 }
 
--- a/rig/tests/delivery/ports.rs
+++ b/rig/tests/delivery/ports.rs
@@ -40,8 +40,8 @@
 pub mod copies {
     use std::sync::atomic::{AtomicU64, Ordering};
 
-    use steprelay_copies::member::Question;
-    use steprelay_copies::{Call, Record};
+    use steprelay_copies::member::PeerRequest;
+    use steprelay_copies::{Call, CallRecord};
     use steprelay_core::{Promise, ReleaseCause};
     use steprelay_decisions::{CallId, ServerId};
 
@@ -55,23 +55,25 @@
         PassedOn(CallId),
         Acknowledged(CallId),
         Given(CallId),
-        Confirmed(Question),
+        Confirmed(PeerRequest),
         Relinquished(Vec<CallId>),
     }
 
-    pub fn record(promise: Promise) -> Record {
+    pub fn record(promise: Promise) -> CallRecord {
         match promise {
-            Promise::Out(server) => Record::Out { server: server.0 },
-            Promise::Stands(server) => Record::Stands { server: server.0 },
-            Promise::Owed(server, cause) => Record::Owed { server: server.0, cause: cause.0 },
+            Promise::Out(server) => CallRecord::AttemptPending { server: server.0 },
+            Promise::Stands(server) => CallRecord::Established { server: server.0 },
+            Promise::Owed(server, cause) => CallRecord::ReleasePending { server: server.0, cause: cause.0 },
         }
     }
 
-    pub fn promise(record: Record) -> Promise {
+    pub fn promise(record: CallRecord) -> Promise {
         match record {
-            Record::Out { server } => Promise::Out(ServerId(server)),
-            Record::Stands { server } => Promise::Stands(ServerId(server)),
-            Record::Owed { server, cause } => Promise::Owed(ServerId(server), ReleaseCause(cause)),
+            CallRecord::AttemptPending { server } => Promise::Out(ServerId(server)),
+            CallRecord::Established { server } => Promise::Stands(ServerId(server)),
+            CallRecord::ReleasePending { server, cause } => {
+                Promise::Owed(ServerId(server), ReleaseCause(cause))
+            }
         }
     }
 
--- a/rig/tests/delivery/process.rs
+++ b/rig/tests/delivery/process.rs
@@ -3,9 +3,9 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use steprelay_copies::member::{Known, Member, Other};
-use steprelay_copies::words::Word;
-use steprelay_copies::writer::Limits;
+use steprelay_copies::member::{ClusterView, Member, PeerMember};
+use steprelay_copies::messages::Message;
+use steprelay_copies::primary::ReplicationPolicy;
 use steprelay_copies::Millis;
 use steprelay_core::{Bounds, Core};
 use steprelay_decisions::{Class, Entry, ListKind, Micros, Readiness, ServerId, Settings};
@@ -24,7 +24,7 @@
 /// How long callers wait for an answer at most.
 pub const DEADLINE: Micros = 3_000_000;
 /// Two others are to hold what is promised, and one must before anybody is told.
-const LIMITS: Limits = Limits { copies: 2, needed: 1 };
+const REPLICATION_POLICY: ReplicationPolicy = ReplicationPolicy { replicas: 2, required_acks: 1 };
 const BOUNDS: Bounds = Bounds { connections: 100, connections_of_one: 100, bytes: 1 << 20 };
 const MAX_OPEN: usize = 1_000;
 
@@ -44,7 +44,7 @@
     clock: Clock,
     /// What was read from sockets, and from members.
     pub inbox: VecDeque<Input>,
-    pub words: VecDeque<(Start, Word)>,
+    pub messages: VecDeque<(Start, Message)>,
     /// When the next turn of the owner, and of the thread of copies, is due.
     pub owner_due: Option<Micros>,
     pub copies_due: Option<Micros>,
@@ -86,14 +86,14 @@
         let end = CopiesEnd { notes: sender, lease: lease.clone(), after_copies: true, refuse_short: false };
         let ran_until = (now / 1_000) as Millis;
         Process {
-            member: Member::new(&start.name, &format!("z-{}", start.name), start.boot, LIMITS),
+            member: Member::new(&start.name, &format!("z-{}", start.name), start.boot, REPLICATION_POLICY),
             owner: Owner::new(core, clock.clone(), end),
             start,
             lease,
             notes,
             clock,
             inbox: VecDeque::new(),
-            words: VecDeque::new(),
+            messages: VecDeque::new(),
             owner_due: None,
             copies_due: None,
             ticked: 0,
@@ -115,22 +115,22 @@
     }
 
     /// A turn of the thread of copies; what it says to others.
-    pub fn copies_turn(&mut self, council: &mut Council, others: &[Other]) -> Vec<(String, Word)> {
+    pub fn copies_turn(&mut self, council: &mut Council, peers: &[PeerMember]) -> Vec<(String, Message)> {
         let now = (self.clock.now() / 1_000) as Millis;
         self.ran_until = now;
-        for (from, word) in std::mem::take(&mut self.words) {
-            self.member.received(now, &from.name, from.boot, word);
+        for (from, message) in std::mem::take(&mut self.messages) {
+            self.member.handle_message(now, &from.name, from.boot, message);
         }
         while let Ok(note) = self.notes.try_recv() {
             match note {
-                Note::Promise(call, promise) => self.member.note(call.0, promise.map(record)),
+                Note::Promise(call, promise) => self.member.record_change(call.0, promise.map(record)),
                 Note::All(all) => {
                     let records = all.into_iter().map(|(call, promise)| (call.0, record(promise)));
-                    self.member.replace(records.collect());
+                    self.member.replace_all(records.collect());
                 }
-                Note::PassedOn(call) => self.member.passed_on(now, call.0),
-                Note::Acknowledged(call) => self.member.acknowledged(call.0),
-                Note::Given(call) => self.member.given(now, call.0),
+                Note::PassedOn(call) => self.member.announce_release(now, call.0),
+                Note::Acknowledged(call) => self.member.release_acknowledged(call.0),
+                Note::Given(call) => self.member.release_delivered(now, call.0),
                 Note::Confirmed(question) => self.member.confirm(question),
                 Note::Relinquished(calls) => {
                     self.member.relinquish(now, calls.into_iter().map(|call| call.0).collect());
@@ -140,33 +140,37 @@
         let mut renewed = None;
         if now >= self.ticked + TICK {
             self.ticked = now;
-            let (authorities, settled) = (council.authorities(), council.settled());
-            let leased = self.lease.left().is_some_and(|left| left > 0);
-            let known = Known { leased, others: others.to_vec(), authorities, settled };
-            self.member.tick(now, &known);
-            for (stream, epoch) in self.member.settle(now) {
+            let (stream_owners, settled) = (council.stream_owners(), council.settled());
+            let has_lease = self.lease.left().is_some_and(|left| left > 0);
+            let view = ClusterView { has_lease, peers: peers.to_vec(), stream_owners, settled };
+            self.member.tick(now, &view);
+            for (stream, epoch) in self.member.streams_to_settle(now) {
                 council.settle(stream, epoch);
             }
             if now >= self.asked + RENEW {
                 self.asked = now;
-                renewed = council.renew(now, &self.start, &self.member.writes());
+                renewed = council.renew(now, &self.start, &self.member.owned_streams());
             }
         }
         self.member.poll(now);
-        while let Some(news) = self.member.take_news() {
-            self.inbox.push_back(Input::Copies(news));
+        while let Some(event) = self.member.next_event() {
+            self.inbox.push_back(Input::Copies(event));
         }
         // Behind the news, as the program is told.
         if let Some(until) = renewed {
-            self.lease.set(until, self.member.figures().renounced);
+            self.lease.set(until, self.member.stats().ownership_losses);
         }
-        self.member.take_words()
+        self.member.take_messages()
     }
 
     /// Its last turn: what was noted by now others are told ahead of the farewell.
-    pub fn last_copies_turn(&mut self, council: &mut Council, others: &[Other]) -> Vec<(String, Word)> {
+    pub fn last_copies_turn(
+        &mut self,
+        council: &mut Council,
+        peers: &[PeerMember],
+    ) -> Vec<(String, Message)> {
         self.ticked = 0;
-        self.copies_turn(council, others)
+        self.copies_turn(council, peers)
     }
 
     /// Whether a note waits for the thread of copies.
--- a/rig/tests/delivery/world/faults.rs
+++ b/rig/tests/delivery/world/faults.rs
@@ -145,12 +145,12 @@
     pub(super) fn excuse_unknown(&mut self, boot: u64) {
         let mut best: BTreeMap<u64, ((u64, u64), BTreeSet<u64>)> = BTreeMap::new();
         for process in self.members.iter().flatten() {
-            for (stream, copy) in process.member().holder().copies() {
-                let number = (copy.epoch(), copy.number());
-                let calls = || copy.records().keys().copied().collect();
-                let held = best.entry(stream.0).or_insert_with(|| (number, calls()));
-                if held.0 < number {
-                    *held = (number, calls());
+            for (stream, replica) in process.member().holder().replicas() {
+                let position = (replica.epoch(), replica.sequence());
+                let calls = || replica.records().keys().copied().collect();
+                let held = best.entry(stream.0).or_insert_with(|| (position, calls()));
+                if held.0 < position {
+                    *held = (position, calls());
                 }
             }
         }
--- a/rig/tests/delivery/world/members.rs
+++ b/rig/tests/delivery/world/members.rs
@@ -1,8 +1,8 @@
 //! Members: their turns, what they read and what they say.
 
 use rand::RngExt;
-use steprelay_copies::member::Other;
-use steprelay_copies::words::Word;
+use steprelay_copies::member::PeerMember;
+use steprelay_copies::messages::Message;
 use steprelay_copies::Millis;
 use steprelay_core::{ClientId, Effect, LinkLoss, ReleaseCause, Request};
 use steprelay_decisions::{CallId, Micros, Report, ServerId};
@@ -60,7 +60,7 @@
                 (connection.member, connection.boot)
             }
             Event::Refused(member, boot, _) => (*member, *boot),
-            Event::Word(member, ..) => {
+            Event::Message(member, ..) => {
                 let Some(process) = &self.members[*member] else { return };
                 (*member, process.start.boot)
             }
@@ -76,9 +76,9 @@
         }
         let late = self.late();
         match event {
-            Event::Word(_, from, word) => {
+            Event::Message(_, from, message) => {
                 if let Some(process) = self.running(member, boot) {
-                    process.words.push_back((from, word));
+                    process.messages.push_back((from, message));
                 }
                 let late = self.late_copies();
                 return self.copies_due(member, boot, late);
@@ -269,9 +269,9 @@
         let now = (self.now() / 1_000) as Millis;
         let others = self.others(member);
         let mut council = std::mem::take(&mut self.council);
-        let words = self.running(member, boot).map(|process| process.copies_turn(&mut council, &others));
+        let messages = self.running(member, boot).map(|process| process.copies_turn(&mut council, &others));
         self.council = council;
-        self.says_words(member, boot, words.unwrap_or_default());
+        self.sends_messages(member, boot, messages.unwrap_or_default());
         let (late, late_turn) = (self.late(), self.late_copies());
         self.owner_due(member, boot, late);
         let next = TICK - now % TICK;
@@ -282,34 +282,34 @@
         let others = self.others(member);
         let mut council = std::mem::take(&mut self.council);
         let process = self.running(member, boot);
-        let words = process.map(|process| process.last_copies_turn(&mut council, &others));
+        let messages = process.map(|process| process.last_copies_turn(&mut council, &others));
         self.council = council;
-        self.says_words(member, boot, words.unwrap_or_default());
+        self.sends_messages(member, boot, messages.unwrap_or_default());
     }
 
-    fn says_words(&mut self, member: usize, boot: u64, words: Vec<(String, Word)>) {
+    fn sends_messages(&mut self, member: usize, boot: u64, messages: Vec<(String, Message)>) {
         let Some(start) = self.running(member, boot).map(|process| process.start.clone()) else { return };
-        for (to, word) in words {
+        for (to, message) in messages {
             let Some(to) = (0..MEMBERS).find(|place| format!("n{}", place + 1) == to) else { continue };
             let at = self.now() + self.way();
             let last = self.between.entry((member, to)).or_default();
             *last = at.max(*last + 1);
             let at = *last;
-            self.at(at, Event::Word(to, start.clone(), word));
+            self.at(at, Event::Message(to, start.clone(), message));
         }
     }
 
     /// Members that are alive by what is known.
-    pub(super) fn others(&mut self, member: usize) -> Vec<Other> {
+    pub(super) fn others(&mut self, member: usize) -> Vec<PeerMember> {
         let now = (self.now() / 1_000) as Millis;
         self.unnoticed.retain(|(at, _)| now <= at + NOTICED);
-        let other = |start: &Start, serves| Other {
+        let other = |start: &Start, is_serving| PeerMember {
             name: start.name.clone(),
             zone: format!("z-{}", start.name),
             boot: start.boot,
-            serves,
+            is_serving,
         };
-        let mut others: Vec<Other> = Vec::new();
+        let mut others: Vec<PeerMember> = Vec::new();
         for process in self.members.iter().flatten() {
             let noticed = process.is_stalled() && now > process.ran_until + NOTICED;
             if !noticed && process.start.name != format!("n{}", member + 1) {
--- a/rig/tests/delivery/world/mod.rs
+++ b/rig/tests/delivery/world/mod.rs
@@ -9,7 +9,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use steprelay_copies::words::Word;
+use steprelay_copies::messages::Message;
 use steprelay_copies::Millis;
 use steprelay_decisions::Micros;
 
@@ -84,7 +84,7 @@
     /// A dial of a server that nobody is at.
     Refused(usize, u64, usize),
     Reaches(u64, ToPeer),
-    Word(usize, Start, Word),
+    Message(usize, Start, Message),
     OwnerTurn(usize, u64),
     CopiesTurn(usize, u64),
     Council,
@@ -211,7 +211,7 @@
     fn happens(&mut self, event: Event) {
         let now = self.now();
         match event {
-            Event::Arrives(..) | Event::Refused(..) | Event::Word(..) => self.comes(event),
+            Event::Arrives(..) | Event::Refused(..) | Event::Message(..) => self.comes(event),
             Event::Reaches(connection, word) => self.reaches(connection, word),
             Event::OwnerTurn(member, boot) => {
                 let due = self.running(member, boot).filter(|process| process.owner_due == Some(now));
