--- a/copies/src/failover.rs
+++ b/copies/src/failover.rs
@@ -1,27 +1,27 @@
-//! The beginning of a succession: the successor asks all that may hold a stream, and takes up the most that
-//! any of them has. Holders have prefixes of one stream, so the longest one of the latest epoch knows all
-//! that any of the others knows.
+//! Recovery of a stream by its successor: the successor queries every member that may hold a replica and
+//! continues from the longest one. Replicas are prefixes of one stream, so the longest replica of the
+//! latest epoch contains everything that any other replica does.
 
 use std::collections::BTreeMap;
 
 use crate::messages::{Message, PartAssembler};
 use crate::{Call, CallRecord, Millis, StreamId};
 
-/// Who has not answered is query again after this.
+/// A holder that has not replied is queried again after this time.
 const QUERY_RETRY_INTERVAL_MS: Millis = 200;
-/// Who is alive, by what others say, and has not answered after this is waited for no more: a release may
-/// take 8 s, and most of that is gone by now.
+/// A holder that is alive according to other members but has not replied is not awaited for longer than
+/// this: a release may take 8 s, and most of that time has passed by now.
 const QUERY_TIMEOUT_MS: Millis = 2_000;
 
 #[derive(Debug)]
 struct HolderQuery {
     sent_at: Option<Millis>,
-    /// By which epoch it was written, and what came of it so far.
+    /// The epoch that the replica was written in, and the parts of it received so far.
     assembler: Option<(u64, PartAssembler)>,
     is_complete: bool,
 }
 
-/// What a holder has, whole.
+/// The complete content of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredStream {
     pub epoch: u64,
@@ -40,7 +40,8 @@
 }
 
 impl Failover {
-    /// `own`: what the successor holds itself; `others`: all that may hold something.
+    /// Starts the recovery. `own`: the successor's own replica; `others`: all other members that may hold
+    /// one.
     pub fn new(
         now: Millis,
         stream: StreamId,
@@ -59,12 +60,12 @@
         self.epoch
     }
 
-    /// Another one succeeds by a later epoch.
+    /// Whether another member succeeds in a later epoch.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// What is to be query now.
+    /// Takes the queries that are due, each with the name of its recipient.
     pub fn poll(&mut self, now: Millis) -> Vec<(String, Message)> {
         let (stream, epoch) = (self.stream, self.epoch);
         let open = self.queries.iter_mut().filter(|(_, query)| !query.is_complete);
@@ -79,7 +80,7 @@
         .collect()
     }
 
-    /// Only these are alive any more: nobody else is waited for.
+    /// Stops waiting for members that are no longer alive.
     pub fn retain_alive(&mut self, is_alive: impl Fn(&str) -> bool) {
         self.queries.retain(|name, query| query.is_complete || is_alive(name));
     }
@@ -102,7 +103,7 @@
                 let received_before = assembler.received();
                 query.is_complete = assembler.push(part);
                 if assembler.received() > received_before {
-                    // The next part is query for at once.
+                    // Requests the next part at once.
                     query.sent_at = None;
                 }
                 if !query.is_complete {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// What is taken up, once enough have answered. `None`: others are still waited for.
+    /// The state to continue from once enough members have replied; `None` while replies are awaited.
     pub fn recovered(&self, now: Millis) -> Option<RecoveredStream> {
         let all_answered = self.queries.values().all(|query| query.is_complete);
         let is_ready = all_answered || now.saturating_sub(self.started_at) >= QUERY_TIMEOUT_MS;
--- a/copies/src/holder.rs
+++ b/copies/src/holder.rs
@@ -1,22 +1,23 @@
-//! What a member holds for others: of each stream a prefix, and by which epoch it may be written on.
+//! The replicas that a member holds for others: a prefix of each stream, and the epoch from which changes
+//! are accepted.
 
 use std::collections::BTreeMap;
 
 use crate::messages::{Message, Part, PartAssembler};
 use crate::{Call, CallRecord, Millis, StreamId};
 
-/// Streams and records that are held, at most.
+/// Bounds on the streams and records held.
 const MAX_STREAMS: usize = 256;
 const MAX_RECORDS: usize = 1_000_000;
-/// Streams that are over are remembered, so that a late message brings none back.
+/// Closed streams are remembered, so that a late message does not recreate them; this bounds how many.
 const MAX_CLOSED_STREAMS: usize = 1_024;
 
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
-    /// Who wrote it last, in which start of its program.
+    /// The member that wrote the replica last, and the incarnation of its process.
     primary: String,
     boot: u64,
-    /// By which epoch it was written, and below which nobody may write any more.
+    /// The epoch that the replica was written in, and the lowest epoch that may still write it.
     epoch: u64,
     fence: u64,
     sequence: u64,
@@ -46,7 +47,7 @@
         &self.records
     }
 
-    /// When its primary was last heard_at.
+    /// When the replica's primary last sent a message.
     pub fn heard_at(&self) -> Millis {
         self.heard_at
     }
@@ -67,12 +68,12 @@
         self.replicas.iter().map(|(stream, replica)| (*stream, replica))
     }
 
-    /// Records held in all.
+    /// The number of records in all replicas.
     pub fn record_count(&self) -> usize {
         self.replicas.values().map(|replica| replica.records.len()).sum()
     }
 
-    /// A stream is over: all that it promised was kept.
+    /// Closes a stream of which no call is left, and discards its replica.
     pub fn close(&mut self, stream: StreamId) {
         self.replicas.remove(&stream);
         if !self.closed.contains(&stream) {
@@ -83,13 +84,13 @@
         }
     }
 
-    /// Lets go of what holds nothing and whose primary is gone.
-    pub fn sweep(&mut self, is_there: impl Fn(&str, u64) -> bool) {
+    /// Discards empty replicas whose primary is no longer alive.
+    pub fn sweep(&mut self, is_alive: impl Fn(&str, u64) -> bool) {
         self.replicas
-            .retain(|_, replica| !replica.records.is_empty() || is_there(&replica.primary, replica.boot));
+            .retain(|_, replica| !replica.records.is_empty() || is_alive(&replica.primary, replica.boot));
     }
 
-    /// Nobody below this epoch may write it any more.
+    /// Rejects primaries below this epoch from now on.
     pub fn fence(&mut self, stream: StreamId, epoch: u64) {
         if self.replicas.contains_key(&stream) || self.replicas.len() < MAX_STREAMS {
             let replica = self.replicas.entry(stream).or_default();
@@ -97,7 +98,8 @@
         }
     }
 
-    /// A message of a primary or a successor, in its start `boot`; the answer to it, where one is owed.
+    /// Handles a message of a primary or a successor, sent by its incarnation `boot`. Returns the reply, if
+    /// there is one.
     pub fn handle_message(
         &mut self,
         now: Millis,
@@ -111,7 +113,8 @@
                     Ok(replica) => replica,
                     Err(answer) => return Some(answer),
                 };
-                // Another primary begins with the snapshot, but for a stream from its first change on.
+                // A new primary starts with a snapshot, except for a stream that it sends from the first
+                // change on.
                 let is_contiguous = if replica.epoch == epoch {
                     after <= replica.sequence
                 } else {
@@ -211,7 +214,7 @@
             let part = Part { index: 0, total: 1, records: Vec::new() };
             return Message::Fetched { stream, epoch, replica_epoch: 0, sequence: 0, part };
         };
-        // What is held changes no more until the successor writes: every part is of one snapshot.
+        // A fenced replica does not change until the successor writes, so every part is of one snapshot.
         let parts = Part::all(&replica.records);
         let part = parts[(from as usize).min(parts.len() - 1)].clone();
         Message::Fetched { stream, epoch, replica_epoch: replica.epoch, sequence: replica.sequence, part }
--- a/copies/src/lib.rs
+++ b/copies/src/lib.rs
@@ -1,15 +1,16 @@
-//! What a call agent holds for others, copied to other members of its fleet. No I/O, no clock, no wire: time
-//! comes in as an argument, and what is to be said goes out as [`messages::Message`]s.
+//! Replication of call state between call agents. The crate does no I/O and reads no clock: callers pass in
+//! the time as an argument, and send the [`messages::Message`]s that come out.
 //!
-//! - A process writes a *stream* of numbered changes of what it has promised ([`primary::Primary`]): attempts
-//!   that are out, calls that stand, releases that are owed.
-//! - Others hold it ([`holder::ReplicaHolder`]), each a prefix of it, so that whoever holds more knows all that any
-//!   other knows. [`placement`] says who.
-//! - When the process is lost, exactly one successor reads what the holders have ([`failover::Failover`]) and
-//!   writes the stream on under a higher *epoch*, which holders know and by which they refuse the one before.
+//! - A process is the [`primary::Primary`] of a *replication stream*: the numbered changes of the state of
+//!   its calls, namely pending attempts, established calls and pending releases.
+//! - Other members hold replicas of the stream ([`holder::ReplicaHolder`]). Each replica is a prefix of the
+//!   stream, so a longer replica contains all that a shorter one does. [`placement`] chooses the holders.
+//! - When the process is lost, exactly one successor reads the replicas ([`failover::Failover`]) and
+//!   continues the stream under a higher *epoch*. The epoch is the fencing token by which holders reject the
+//!   previous primary.
 //!
-//! [`member::Member`] is all of that together. Who succeeds whom is agreed elsewhere; here the epoch is
-//! taken as given.
+//! [`member::Member`] combines these parts. The consensus group chooses the successor and its epoch; this
+//! crate takes both as given.
 //!
 //! ```
 //! use steprelay_copies::holder::ReplicaHolder;
@@ -39,27 +40,29 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of a monotonic clock, from any start.
+/// Milliseconds of a monotonic clock with an arbitrary origin.
 pub type Millis = u64;
-/// A call's number, as callers and servers know it.
+/// A call's number, as callers and servers use it.
 pub type Call = u64;
 
-/// Names a stream: drawn at the start of the process that began it, and kept by its successors.
+/// Identifies a replication stream. The process that starts the stream draws the ID at its start;
+/// successors keep it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StreamId(pub u64);
 
-/// What is promised of a call.
+/// State of a call that has to survive the loss of the member that owns it.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallRecord {
-    /// An attempt is out at a server; nobody was told anything yet. Whoever succeeds ends it there.
+    /// An attempt is pending at a server and the caller has received no answer. A successor cancels the
+    /// attempt.
     AttemptPending { server: u32 },
-    /// Its caller was told that it stands, and waits for its release.
+    /// The caller was told that the call is established. The caller waits for the release.
     Established { server: u32 },
-    /// The server has released it, and its caller has not confirmed that.
+    /// The server has released the call and the caller has not acknowledged the release.
     ReleasePending { server: u32, cause: u8 },
 }
 
-/// Traces of calls and dumps of state show records under their established names.
+/// Call traces print records, so `Debug` keeps the names that their readers know.
 impl fmt::Debug for CallRecord {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -76,5 +79,5 @@
     }
 }
 
-/// `None`: nothing is promised of the call any more.
+/// A change of one call's record; `None` removes the record.
 pub type Change = (Call, Option<CallRecord>);
--- a/copies/src/member.rs
+++ b/copies/src/member.rs
@@ -1,8 +1,9 @@
-//! One member's part in copies: what it writes, what it holds, what it takes over, and what it says.
+//! One member's share in the replication of call state: its own stream, the replicas that it holds, the
+//! streams that it takes over, and its messages to other members.
 //!
-//! Its process notes what it promises ([`Member::note`]) and is told [`ReplicationEvent`]. Nothing is written, and
-//! nothing taken over, without a lease: whoever sleeps or is cut off finds out first whether it was
-//! succeeded.
+//! The process reports each change of a call's state ([`Member::record_change`]) and handles the resulting
+//! [`ReplicationEvent`]s. Without a lease, a member neither writes a stream nor takes one over: a member
+//! that was suspended or partitioned learns first whether it has a successor.
 
 mod handover;
 
@@ -17,28 +18,31 @@
 use crate::primary::{Primary, ReplicationPolicy};
 use crate::{Call, CallRecord, Change, Millis, StreamId};
 
-/// Who holds what is looked at so often.
+/// Interval at which the choice of replica holders is reviewed.
 const PLACEMENT_INTERVAL_MS: Millis = 500;
-/// A holder that was slow is not chosen again for so long.
+/// A lagging holder is not chosen again within this time.
 const LAGGING_HOLDER_BACKOFF_MS: Millis = 10_000;
-/// Notes that wait to be committed, at most. Past that the oldest id as committed, and as uncommitted_overflows.
+/// Bound on changes that wait to be committed. Beyond it, the oldest changes count as committed and are
+/// added to `uncommitted_overflows`.
 const MAX_UNCOMMITTED_CHANGES: usize = 65_536;
-/// Calls that are over elsewhere are remembered for so long, and so many of them.
+/// How long ended calls are remembered, and how many of them at most.
 const RELEASE_RETENTION_MS: Millis = 60_000;
 const MAX_RETAINED_RELEASES: usize = 100_000;
-/// Words that are owed an answer are said again after this, and given up after that.
+/// Interval at which an unacknowledged announcement or handover is sent again, and the time after which it
+/// is abandoned.
 const RETRANSMIT_INTERVAL_MS: Millis = 300;
 const REQUEST_TIMEOUT_MS: Millis = 10_000;
-/// Calls of one such message, and outbox of that kind at once.
+/// Bounds on the calls in one announcement or handover, and on open announcements.
 const MAX_CALLS_PER_MESSAGE: usize = 512;
 const MAX_ANNOUNCEMENTS: usize = 256;
-/// Questions of peers that wait for their answers, at most.
+/// Bound on requests of peers that this member's process has not answered yet.
 const MAX_PEER_REQUESTS: usize = 1_024;
-/// The sequence of a message that answers another and is not confirmed itself.
+/// ID of a `CallsEnded` message that answers another message; the receiver does not acknowledge it.
 const NO_ACK_ID: u64 = 0;
-/// A release is left to a member that has announced it and is there after this: a lost one is known by then.
+/// A release is delegated for good to the peer that announced it if that peer is still alive after this
+/// time. A lost peer is detected within it.
 const DELEGATION_TIMEOUT_MS: Millis = 5_000;
-/// A stream that is over is put into the log so often until it is there.
+/// Interval at which the consensus group is asked again to settle a finished stream.
 const SETTLE_RETRY_INTERVAL_MS: Millis = 1_000;
 
 /// Another member that is alive.
@@ -47,11 +51,12 @@
     pub name: String,
     pub zone: String,
     pub boot: u64,
-    /// It takes calls, and is not about to go.
+    /// Whether the member accepts set-ups and is not about to stop.
     pub is_serving: bool,
 }
 
-/// Who writes a stream by the log, since its first primary was lost.
+/// The member that owns a stream, as agreed by the consensus group after the stream's first primary was
+/// lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamOwner {
     pub stream: StreamId,
@@ -60,73 +65,76 @@
     pub epoch: u64,
 }
 
-/// What is known of the fleet.
+/// The state of the cluster as this member knows it.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterView {
-    /// Whether this member's lease holds.
+    /// Whether this member's lease is valid.
     pub has_lease: bool,
     pub peers: Vec<PeerMember>,
     pub stream_owners: Vec<StreamOwner>,
     pub settled: Vec<StreamId>,
 }
 
-/// What the process is told.
+/// An event for the process that owns the calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicationEvent {
-    /// Enough peers hold the first so many of its notes.
+    /// The first so many recorded changes are committed: enough holders have them.
     Committed(u64),
-    /// It keeps these promises from now on, of peers that are lost.
+    /// The process owns these calls of a lost member from now on.
     TakenOver(Vec<(Call, CallRecord)>),
-    /// What such a one says, that only slept, of what it did last.
+    /// The last changes of a superseded primary that was suspended, not lost.
     LateChanges(Vec<Change>),
-    /// Another keeps what was promised of these calls.
+    /// Another member owns these calls from now on.
     OwnershipLost(BTreeSet<Call>),
-    /// Others have seen to the end of these calls, or are about to.
+    /// Other members have ended these calls, or are about to.
     EndedElsewhere(Vec<Call>, Precedence),
-    /// All that precedes this was carried out: to be answered with [`Member::confirm`].
+    /// A barrier behind all previous events: the process answers it with [`Member::confirm`] once it has
+    /// handled them.
     Barrier(PeerRequest),
-    /// All peer members have said of these calls, which they were told are over, what they had to say.
+    /// All other members were notified that these calls are ended, and have answered everything they had to
+    /// say about them.
     AllNotified(Vec<Call>),
-    /// PeerMember members, which are there, have announced the end of these calls, and see to it.
+    /// Other members that are alive have announced the end of these calls and deliver the releases.
     DelegatedToPeer(Vec<Call>),
-    /// Others have told the callers of these calls that they are over.
+    /// Other members have told the callers of these calls that the calls are released.
     ReleaseDelivered(Vec<Call>),
-    /// Of calls that were relinquished: the successor has told their callers nothing, and never will.
+    /// The successor has told the callers of these relinquished calls nothing, and never will.
     Relinquished(Vec<Call>),
-    /// Whether too few peers can take copies.
+    /// Whether too few other members can accept changes.
     Degraded(bool),
 }
 
-/// A message of another member that is confirmed once this member's process has answered it.
+/// A request of another member, acknowledged once this member's process has handled all events before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRequest {
     pub from: String,
     pub id: u64,
 }
 
-/// Which of two members gives a release that both are about to give.
+/// Which of two members delivers a release that both are about to deliver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
     Ours,
     Theirs,
 }
 
-/// ReplicationStats of one moment.
+/// Replication counters and gauges at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicationStats {
-    /// Records of this member's own, and those it has taken over.
+    /// Records in this member's own stream and in the streams that it has taken over.
     pub own_records: u64,
     pub taken_over_records: u64,
-    /// Of these, how many fewer than `copies` peers hold; and peers that hold its own.
+    /// How many of these records have fewer than `replicas` holders, and the number of holders of the
+    /// member's own stream.
     pub under_replicated: u64,
     pub holders: u64,
-    /// What it holds of peers.
+    /// Streams and records of other members of which this member holds replicas.
     pub replica_streams: u64,
     pub replica_records: u64,
-    /// Successions it has begun, and times that it gave something up to another.
+    /// Failovers that this member has started, and how often it has lost the ownership of calls.
     pub failovers: u64,
     pub ownership_losses: u64,
-    /// Notes that counted as committed without being so.
+    /// Changes that counted as committed without being so, because too many were waiting.
     pub uncommitted_overflows: u64,
 }
 
@@ -147,34 +155,36 @@
     policy: ReplicationPolicy,
     own: Primary,
     taken_over: BTreeMap<StreamId, Primary>,
-    /// Calls that were taken over, by their streams.
+    /// The stream of each call that was taken over.
     routed: BTreeMap<Call, StreamId>,
     failovers: BTreeMap<StreamId, Failover>,
     holder: ReplicaHolder,
-    /// Notes so far, and those that are committed; in between, which change of which stream each was.
+    /// The number of recorded changes and of committed ones; `uncommitted` maps each change in between to
+    /// its stream and sequence number.
     recorded: u64,
     committed: u64,
     uncommitted: VecDeque<(u64, StreamId, u64)>,
-    /// Without a lease: the calls that peers may know of from before.
+    /// Set while there is no lease: the calls that other members may know, recorded before the lease was
+    /// lost.
     shared_before_lease_loss: Option<BTreeSet<Call>>,
     placed_at: Option<Millis>,
     avoided: BTreeMap<String, Millis>,
     releases: BTreeMap<Call, ReleaseEntry>,
     release_order: VecDeque<Call>,
     unannounced: Vec<Call>,
-    /// Calls whose releases were acknowledged, by their streams, until the replicas are told.
+    /// Calls whose releases were acknowledged, by stream, until the replica holders are notified.
     acknowledged: BTreeMap<StreamId, Vec<Call>>,
-    /// Releases that came here too, of calls whose end another member has announced; since when.
+    /// Releases received here of calls whose end a peer has announced, and when they were received.
     delegated: BTreeMap<Call, (PeerProcess, Millis)>,
     announcements: VecDeque<Announcement>,
-    /// Questions of peer members that this member's process has not answered yet.
+    /// Requests of other members that this member's process has not answered yet.
     peer_requests: VecDeque<PeerRequest>,
     handovers: Vec<Handover>,
-    /// Of this member's own stream of before.
+    /// The owner of this member's previous stream.
     successor: Option<Successor>,
     settling: BTreeMap<StreamId, Millis>,
     settled: Vec<StreamId>,
-    /// Members that were alive at the last tick, and the starts of their programs.
+    /// The members that were alive at the last tick, and the incarnations of their processes.
     peers: Vec<String>,
     boots: BTreeMap<String, u64>,
     is_degraded: bool,
@@ -185,7 +195,8 @@
 }
 
 impl Member {
-    /// `boot`: of this start of the program, as peers know it.
+    /// Creates a member. `boot` identifies this incarnation of the process to other members, and names the
+    /// first stream.
     pub fn new(name: &str, zone: &str, boot: u64, policy: ReplicationPolicy) -> Self {
         Member {
             name: name.into(),
@@ -228,7 +239,7 @@
         self.events.pop_front()
     }
 
-    /// What is to be said, and to whom.
+    /// Takes the messages to send, each with the name of its recipient.
     pub fn take_messages(&mut self) -> Vec<(String, Message)> {
         std::mem::take(&mut self.outbox)
     }
@@ -253,18 +264,18 @@
         &self.holder
     }
 
-    /// The streams of this member's own and those it has taken over, with the names of those that hold them.
+    /// The member's own stream and the streams that it has taken over.
     pub fn primaries(&self) -> impl Iterator<Item = &Primary> {
         [&self.own].into_iter().chain(self.taken_over.values())
     }
 
-    /// What it writes by which epoch, and is about to.
+    /// Streams that this member owns or is taking over, each with its epoch.
     pub fn owned_streams(&self) -> Vec<(StreamId, u64)> {
         let primaries = self.primaries().map(|primary| (primary.stream(), primary.epoch()));
         primaries.chain(self.failovers.iter().map(|(stream, failover)| (*stream, failover.epoch()))).collect()
     }
 
-    /// The process promises something else of a call, or nothing any more.
+    /// Records a change of a call's state; `None` removes the call.
     pub fn record_change(&mut self, call: Call, record: Option<CallRecord>) {
         self.recorded += 1;
         let stream = self.routed.get(&call).copied();
@@ -283,7 +294,7 @@
         }
     }
 
-    /// Some notes were lost on the way; this is all that the process promises. It counts as one note.
+    /// Replaces all records after some changes were lost on the way. Counts as one change.
     pub fn replace_all(&mut self, records: BTreeMap<Call, CallRecord>) {
         self.recorded += 1;
         let removed: Vec<Call> =
@@ -307,7 +318,7 @@
         self.uncommitted.push_back((self.recorded, self.own.stream(), sequence));
     }
 
-    /// A message of another member, in its start `boot`.
+    /// Handles a message of another member, sent by its incarnation `boot`.
     pub fn handle_message(&mut self, now: Millis, from: &str, boot: u64, message: Message) {
         match message {
             Message::Ack { .. } | Message::CapacityExceeded { .. } => {
@@ -387,7 +398,7 @@
             self.uncommitted.pop_front();
         }
         if self.committed > before {
-            // One message for many, where nobody has asked meanwhile.
+            // Consecutive commit events are merged while the process has taken none of them.
             if let Some(ReplicationEvent::Committed(committed)) = self.events.back_mut() {
                 *committed = self.committed;
             } else {
@@ -396,7 +407,7 @@
         }
     }
 
-    /// Says what is new, between ticks.
+    /// Sends new changes, between ticks.
     pub fn poll(&mut self, now: Millis) {
         self.send_acknowledged();
         if self.shared_before_lease_loss.is_none() {
@@ -407,7 +418,7 @@
         self.advance_commit();
     }
 
-    /// Time has passed, and the fleet is so.
+    /// Applies the cluster's current state and performs everything that is due.
     pub fn tick(&mut self, now: Millis, view: &ClusterView) {
         self.settled.clone_from(&view.settled);
         self.peers = view.peers.iter().map(|peer| peer.name.clone()).collect();
@@ -427,7 +438,7 @@
         };
         self.holder.sweep(is_alive);
         if !view.has_lease {
-            // What is new from now on nobody else hears of.
+            // Changes recorded from here on reach no other member.
             if self.shared_before_lease_loss.is_none() {
                 let calls = self.primaries().flat_map(|primary| primary.records().keys().copied()).collect();
                 self.shared_before_lease_loss = Some(calls);
@@ -448,7 +459,8 @@
         self.poll(now);
     }
 
-    /// What peers write by now is written here no more; what is this member's to write is taken over.
+    /// Gives up the streams that other members own by now, and starts the failover of streams that this
+    /// member owns.
     fn apply_stream_owners(&mut self, now: Millis, view: &ClusterView) {
         for owner in &view.stream_owners {
             let StreamOwner { stream, name, boot, epoch } = owner;
@@ -477,14 +489,16 @@
         }
     }
 
-    /// This member's own stream has a successor: it was taken for lost.
+    /// Gives up this member's own stream to a successor and starts a new one: the cluster took this member
+    /// for lost.
     fn give_up_own_stream(&mut self, now: Millis, by: &StreamOwner) {
         let all_calls = || self.own.records().keys().copied().collect();
         let shared: BTreeSet<Call> = self.shared_before_lease_loss.clone().unwrap_or_else(all_calls);
         let next = StreamId(self.own.stream().0.rotate_left(23) ^ self.boot ^ by.epoch);
         let old = std::mem::replace(&mut self.own, Primary::new(next, self.policy));
         self.successor = Some(self.hand_over(now, &old, by));
-        // What came since nobody else could hear of it goes on here, and releases that are given here.
+        // Calls that no other member could learn of stay in the new stream, and so do releases that are
+        // delivered here.
         let stays_local = |call: &Call| !shared.contains(call) || self.is_released_locally(*call);
         let retained: Vec<(Call, CallRecord)> = old
             .records()
@@ -540,7 +554,7 @@
             self.events.push_back(ReplicationEvent::TakenOver(taken_over));
             self.placed_at = None;
         }
-        // Said until it is in the log.
+        // Repeated until the consensus group has settled the stream.
         for (stream, primary) in &self.taken_over {
             if primary.records().is_empty() {
                 self.settling.entry(*stream).or_insert(0);
@@ -550,7 +564,7 @@
         self.settling.retain(|stream, _| is_open(stream));
     }
 
-    /// Streams of which all is kept, to be put into the log, each with its epoch.
+    /// Finished streams that the consensus group has to settle, each with its epoch.
     pub fn streams_to_settle(&mut self, now: Millis) -> Vec<(StreamId, u64)> {
         let mut due = Vec::new();
         for (stream, sent_at) in &mut self.settling {
@@ -588,7 +602,7 @@
         }
     }
 
-    /// What is said until it is heard.
+    /// Sends announcements and handovers, and repeats them until they are acknowledged.
     fn retransmit(&mut self, now: Millis, view: &ClusterView) {
         let calls = std::mem::take(&mut self.unannounced);
         for calls in calls.chunks(MAX_CALLS_PER_MESSAGE) {
@@ -606,7 +620,7 @@
         self.announcements.drain(..self.announcements.len().saturating_sub(MAX_ANNOUNCEMENTS));
         self.announcements.retain(|announcement| now < announcement.expires_at);
         for announcement in &mut self.announcements {
-            // Nobody waits for the message of a member that is lost.
+            // A lost member's acknowledgement is not awaited.
             announcement.awaiting.retain(|name| view.peers.iter().any(|peer| peer.name == *name));
         }
         self.finish_announcements();
--- a/copies/src/member/handover.rs
+++ b/copies/src/member/handover.rs
@@ -1,5 +1,5 @@
-//! Calls that change hands: what a member that was succeeded tells its successor, and which of them tells
-//! callers that their calls are over.
+//! Handover of calls between members: what a superseded primary sends its successor, and which of the two
+//! tells callers that their calls are released.
 
 use std::collections::BTreeSet;
 
@@ -17,13 +17,14 @@
     pub(super) id: u64,
     pub(super) to: Successor,
     pub(super) changes: Vec<Change>,
-    /// These calls were relinquished: the process waits to be told that they are the successor's no more.
+    /// These calls were relinquished: the process waits for the confirmation that the successor has dropped
+    /// them.
     pub(super) relinquished: bool,
     pub(super) sent_at: Option<Millis>,
     pub(super) expires_at: Millis,
 }
 
-/// Who writes a stream after its primary was taken for lost.
+/// The member that owns a stream after the cluster took the stream's primary for lost.
 #[derive(Clone, Debug)]
 pub(super) struct Successor {
     pub(super) name: String,
@@ -31,27 +32,28 @@
     pub(super) epoch: u64,
 }
 
-/// Who sees to it that a caller hears of the end of its call.
+/// Which member delivers a call's release to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReleaseStatus {
-    /// This member's process: it has told the caller, or is about to.
+    /// This member's process has told the caller, or is about to.
     Local,
-    /// Another member was about to.
+    /// Another member has announced that it is about to tell the caller.
     AnnouncedBy(PeerProcess),
     /// Another member has told the caller.
     DeliveredByPeer,
-    /// The caller has acknowledged it to another member, of which this one holds a replica.
+    /// The caller has acknowledged the release to another member, of whose stream this member holds a
+    /// replica.
     Acknowledged,
 }
 
-/// Another member, in one start of it.
+/// One incarnation of another member's process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PeerProcess {
     pub(super) name: String,
     pub(super) boot: u64,
 }
 
-/// The end of a call.
+/// The release of a call, and when the entry was last updated.
 #[derive(Clone, Debug)]
 pub(super) struct ReleaseEntry {
     pub(super) updated_at: Millis,
@@ -59,9 +61,9 @@
 }
 
 impl Member {
-    /// The process gives, or is about to give, the release of a call that may be another's: peers must hear
-    /// that it is over. Where a member that is there, and whose name comes first, has announced the same
-    /// before, that one alone is asked.
+    /// Announces that the process delivers, or is about to deliver, the release of a call that may belong
+    /// to another member. All other members learn that the call is ended. If a living member whose name
+    /// sorts first has announced the same release before, only that member is asked.
     pub fn announce_release(&mut self, now: Millis, call: Call) {
         if self.is_acknowledged(call) {
             return self.events.push_back(ReplicationEvent::ReleaseDelivered(vec![call]));
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Another member waits for what the process has to say of calls.
+    /// Queues a request of another member, which waits until this member's process has handled all events
+    /// before it.
     pub(super) fn queue_peer_request(&mut self, request: PeerRequest) {
         if !self.peer_requests.contains(&request) {
             self.peer_requests.push_back(request.clone());
@@ -96,13 +99,14 @@
         self.events.push_back(ReplicationEvent::Barrier(request));
     }
 
-    /// The process has carried out all that preceded this request: what it has to say of it is on its way.
+    /// Acknowledges a request of another member. The process has handled all events before the request, so
+    /// its answers are already in the outbox.
     pub fn confirm(&mut self, request: PeerRequest) {
         self.peer_requests.retain(|open| *open != request);
         self.outbox.push((request.from, Message::CallsEndedAck { id: request.id }));
     }
 
-    /// The member that has announced the end of a call, where it is there.
+    /// The member that has announced the call's release, if that member is alive.
     fn living_announcer(&self, call: Call) -> Option<PeerProcess> {
         match &self.releases.get(&call)?.status {
             ReleaseStatus::AnnouncedBy(announcer) => {
@@ -116,8 +120,9 @@
         self.boots.get(&announcer.name) == Some(&announcer.boot)
     }
 
-    /// Decides on releases that were left to members that had announced them: who is lost gives none, and who
-    /// is there for longer than a lost one would be taken for it does.
+    /// Decides on releases that were delegated to the members that announced them. If the announcing member
+    /// is lost, this member delivers the release. If that member stays alive for longer than the detection
+    /// of a loss takes, the release is left to it.
     pub(super) fn review_delegated(&mut self, now: Millis) {
         for (call, (announcer, since)) in std::mem::take(&mut self.delegated) {
             if !self.is_alive(&announcer) {
@@ -133,7 +138,7 @@
         }
     }
 
-    /// Tells the process of calls whose end all peers have confirmed.
+    /// Reports the calls whose end all other members have acknowledged.
     pub(super) fn finish_announcements(&mut self) {
         let all = std::mem::take(&mut self.announcements).into_iter();
         let (completed, open): (Vec<Announcement>, Vec<Announcement>) =
@@ -146,9 +151,10 @@
         }
     }
 
-    /// The process has told the caller of a call that it is over, which another member is about to do: it is
-    /// told so once, since it waits for that for less time than a second message would take. Whoever asks is
-    /// told also where it is not among the members that are alive yet, as one that has just woken.
+    /// Tells other members that the process has told the caller of a release which another member is about
+    /// to deliver. The message is sent once only, because the other member waits for it for less time than
+    /// a retransmission would take. Members with an open request are told even if they do not count as
+    /// alive yet, for example after a suspension.
     pub fn release_delivered(&mut self, now: Millis, call: Call) {
         self.record_release(call, ReleaseEntry { updated_at: now, status: ReleaseStatus::Local });
         let requesters = self.peer_requests.iter().map(|request| &request.from);
@@ -165,7 +171,7 @@
         self.acknowledged.entry(stream).or_default().push(call);
     }
 
-    /// Tells those that hold a stream of the calls whose releases were acknowledged.
+    /// Tells the holders of each stream which releases were acknowledged.
     pub(super) fn send_acknowledged(&mut self) {
         for (stream, calls) in std::mem::take(&mut self.acknowledged) {
             let primary =
@@ -179,8 +185,8 @@
         }
     }
 
-    /// The primary of a stream that is held here says which releases were acknowledged. The process is told of
-    /// those that it is about to give itself.
+    /// Handles the notice of a held stream's primary that releases were acknowledged. The process is told
+    /// of those that it is about to deliver itself.
     pub(super) fn apply_acknowledged(&mut self, now: Millis, calls: Vec<Call>) {
         let (own, others): (Vec<Call>, Vec<Call>) = calls
             .into_iter()
@@ -194,8 +200,8 @@
         }
     }
 
-    /// Another member is about to give the releases of these calls: it is told which of them were
-    /// acknowledged to a member that may be lost by now.
+    /// Tells another member, which is about to deliver the releases of these calls, which of them were
+    /// already acknowledged, possibly to a member that is lost by now.
     pub(super) fn answer_for_acknowledged(&mut self, from: &str, calls: &[Call]) {
         let calls: Vec<Call> = calls.iter().copied().filter(|call| self.is_acknowledged(*call)).collect();
         if !calls.is_empty() {
@@ -207,8 +213,8 @@
         self.releases.get(&call).is_some_and(|entry| entry.status == ReleaseStatus::Acknowledged)
     }
 
-    /// Calls that were given up to the successor of this member's own stream, and whose callers were told
-    /// nothing here: the successor is asked to drop them, and says which of them it has ended.
+    /// Relinquishes calls that went to the successor of this member's own stream and whose callers were
+    /// told nothing here. The successor is asked to drop the calls, and reports which of them it has ended.
     pub fn relinquish(&mut self, now: Millis, calls: Vec<Call>) {
         let Some(successor) = self.successor.clone() else {
             return self.events.push_back(ReplicationEvent::Relinquished(calls));
@@ -229,14 +235,15 @@
         self.releases.get(&call).is_some_and(|entry| entry.status == ReleaseStatus::Local)
     }
 
-    /// Whether the end of a call with this record is another's to tell, or was told. What a member that is
-    /// lost was about to tell, and had not told by its own record, it did not tell.
+    /// Whether another member delivers or has delivered the release of a call with this record. A release
+    /// that a lost member had announced is undelivered if the lost member's record says that it is still
+    /// pending.
     pub(super) fn is_ended_elsewhere(&self, call: Call, record: Option<CallRecord>) -> bool {
         let Some(entry) = self.releases.get(&call) else { return false };
         let is_pending = matches!(record, Some(CallRecord::ReleasePending { .. }));
         match &entry.status {
             ReleaseStatus::AnnouncedBy(announcer) => !is_pending || self.is_alive(announcer),
-            // The process knows whether it has told the caller, or has left that to another since.
+            // The process knows whether it has told the caller or has since left that to another member.
             ReleaseStatus::Local => !is_pending,
             ReleaseStatus::DeliveredByPeer | ReleaseStatus::Acknowledged => true,
         }
@@ -258,7 +265,8 @@
             {
                 before.updated_at = now
             }
-            // Of two members that have announced it the one gives it whose name comes first.
+            // Of two members that have announced the same release, the one whose name sorts first delivers
+            // it.
             Some(ReleaseEntry { updated_at, status: ReleaseStatus::AnnouncedBy(first) })
                 if matches!(&entry.status, ReleaseStatus::AnnouncedBy(next) if first.name < next.name)
                     && self.boots.get(&first.name) == Some(&first.boot) =>
@@ -278,8 +286,8 @@
         }
     }
 
-    /// What the primary of a stream that this member took over recorded last. It says it again until what the
-    /// holders had is taken up here.
+    /// Handles the last changes of the superseded primary of a stream that this member has taken over.
+    /// Changes that arrive before the recovery is complete are ignored; the sender repeats them.
     pub(super) fn apply_handover(
         &mut self,
         from: &str,
@@ -292,7 +300,7 @@
         if !has_taken_over && !self.settling.contains_key(&stream) && !self.settled.contains(&stream) {
             return;
         }
-        // Ahead of the confirmation, so that the peer one does not end them too.
+        // Sent before the acknowledgement, so that the other member does not end these calls too.
         let dropped = changes.iter().filter(|(_, record)| record.is_none()).map(|(call, _)| *call);
         let calls: Vec<Call> = dropped.filter(|call| self.is_released_locally(*call)).collect();
         if !calls.is_empty() {
@@ -307,12 +315,13 @@
         let shared = self.shared_before_lease_loss.as_ref();
         let is_shared = |call: &Call| shared.is_none_or(|calls| calls.contains(call));
         let changes: Vec<Change> = old.unconfirmed_changes();
-        // An attempt is called off here; and of calls that began without a lease nobody else has heard.
+        // This member cancels its own pending attempts, and no other member knows the calls that began
+        // without a lease.
         let relevant = changes.into_iter().filter(|(call, record)| {
             !matches!(record, Some(CallRecord::AttemptPending { .. }))
                 && (record.is_none() || is_shared(call))
         });
-        // Of what is given here all members are told that it is over.
+        // All members are told of the releases that this member delivers itself.
         let changes: Vec<Change> = relevant.filter(|(call, _)| !self.is_released_locally(*call)).collect();
         let successor = Successor { name: by.name.clone(), stream: old.stream(), epoch: by.epoch };
         for changes in changes.chunks(MAX_CALLS_PER_MESSAGE) {
@@ -321,7 +330,7 @@
         successor
     }
 
-    /// What a successor has not confirmed by now stays its own.
+    /// Drops handovers that were not acknowledged in time. Relinquished calls stay with the successor then.
     pub(super) fn expire_handovers(&mut self, now: Millis) {
         let (open, expired): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.handovers).into_iter().partition(|handover| now < handover.expires_at);
--- a/copies/src/messages.rs
+++ b/copies/src/messages.rs
@@ -1,59 +1,61 @@
-//! What writers, holders and successors of a stream say to each other. Who speaks, in which cluster, version
-//! and start, is said by what carries these words.
+//! Messages between the primary, the replica holders and a successor of a stream. The transport tells who
+//! the sender is: its cluster, protocol version and process incarnation.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Call, CallRecord, Change, StreamId};
 
-/// Records of one word, at most.
+/// Bound on the records in one message.
 pub const MAX_RECORDS_PER_MESSAGE: usize = 512;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Of the writer: what follows `after`, in order.
+    /// From the primary: the changes that follow sequence number `after`, in order.
     Append {
         stream: StreamId,
         epoch: u64,
         after: u64,
         changes: Vec<Change>,
     },
-    /// Of the writer: all that there is at `sequence`, in parts.
+    /// From the primary: one part of all records as of `sequence`.
     Snapshot {
         stream: StreamId,
         epoch: u64,
         sequence: u64,
         part: Part,
     },
-    /// Of the writer: others hold it now.
+    /// From the primary: other members hold the stream now, and the receiver discards its replica.
     Discard {
         stream: StreamId,
         epoch: u64,
     },
-    /// Of a holder: it has everything up to `sequence`, 0 for nothing at all. `part`: of a whole that is on its
-    /// way, so many parts received.
+    /// From a holder: it has every change up to `sequence`; 0 if it has nothing. `received_parts`: the
+    /// parts that it has of a snapshot in transfer.
     Ack {
         stream: StreamId,
         epoch: u64,
         sequence: u64,
         received_parts: u32,
     },
-    /// Of a holder: it has no room.
+    /// From a holder: it has no capacity for the stream.
     CapacityExceeded {
         stream: StreamId,
         epoch: u64,
     },
-    /// Of a holder: another one writes this stream, or is about to.
+    /// From a holder: another member is the primary of the stream, or is about to be.
     Fenced {
         stream: StreamId,
         epoch: u64,
     },
-    /// Of a successor: what is held there? Whoever wrote by an older epoch is refused from now on.
+    /// From a successor: requests the part number `from` of the holder's replica. The holder rejects
+    /// primaries of older epochs from now on.
     Fetch {
         stream: StreamId,
         epoch: u64,
         from: u32,
     },
-    /// The answer to that: what is held was written by `held` (0 and an empty part: nothing is held).
+    /// From a holder: the reply to `Fetch`. The primary of epoch `replica_epoch` wrote the replica; epoch 0
+    /// with an empty part if the holder has none.
     Fetched {
         stream: StreamId,
         epoch: u64,
@@ -61,7 +63,9 @@
         sequence: u64,
         part: Part,
     },
-    /// Of whoever gave a release of a call that it did not have: these are over, wherever they stand.
+    /// From a member that delivers or has delivered releases of calls that may belong to another member:
+    /// these calls are ended wherever they are established. ID 0 marks an answer, which is not
+    /// acknowledged.
     CallsEnded {
         id: u64,
         calls: Vec<Call>,
@@ -69,7 +73,7 @@
     CallsEndedAck {
         id: u64,
     },
-    /// Of a writer that was succeeded by that epoch: what it noted last, which its holders may not have.
+    /// From a primary that was superseded by this epoch: its last changes, which its holders may lack.
     Handover {
         id: u64,
         stream: StreamId,
@@ -79,14 +83,14 @@
     HandoverAck {
         id: u64,
     },
-    /// Of the writer of a stream, ahead of the changes that end with that: the callers of these calls have
+    /// From the primary, ahead of the changes that remove the calls: the callers of these calls have
     /// acknowledged their releases.
     ReleasesAcknowledged {
         calls: Vec<Call>,
     },
 }
 
-/// One of several parts of a whole, in the order of calls.
+/// One of several parts of a snapshot, which is sorted by call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
     pub index: u32,
@@ -95,7 +99,7 @@
 }
 
 impl Part {
-    /// All parts of what there is; one empty part where there is nothing.
+    /// Splits the records into parts; no records make one empty part.
     pub fn all<'a>(records: impl IntoIterator<Item = (&'a Call, &'a CallRecord)>) -> Vec<Part> {
         let all: Vec<(Call, CallRecord)> =
             records.into_iter().map(|(call, record)| (*call, *record)).collect();
@@ -109,7 +113,8 @@
     }
 }
 
-/// Gathers the parts of a whole as they come, in order; what is out of order is asked for again.
+/// Assembles the parts of a snapshot in order. Parts that arrive out of order are ignored and requested
+/// again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartAssembler {
     pub sequence: u64,
@@ -123,17 +128,18 @@
         PartAssembler { sequence, total, received: 0, records: Vec::new() }
     }
 
-    /// Whether a part belongs to this whole.
+    /// Whether a part belongs to this snapshot.
     pub fn accepts(&self, sequence: u64, part: &Part) -> bool {
         (self.sequence, self.total) == (sequence, part.total)
     }
 
-    /// Parts that received, in order.
+    /// The number of parts that were received in order.
     pub fn received(&self) -> u32 {
         self.received
     }
 
-    /// Takes the next part; whether it was the last one. Others change nothing.
+    /// Adds the part if it is the next one, and ignores it otherwise. Returns whether the snapshot is
+    /// complete.
     pub fn push(&mut self, part: Part) -> bool {
         if part.index == self.received && self.received < self.total {
             self.received += 1;
--- a/copies/src/placement.rs
+++ b/copies/src/placement.rs
@@ -1,25 +1,26 @@
-//! Who holds a stream: rendezvous hashing with weights. Each member draws a number for each stream, and the
-//! highest hold it; a member that comes or goes moves only what it held or will hold.
+//! Choice of a stream's replica holders by weighted rendezvous hashing. Each member has a score for each
+//! stream, and the members with the highest scores hold it. A member that joins or leaves moves only the
+//! replicas that it will hold or held.
 
-/// A member that may hold something.
+/// A member that may hold replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate<'a> {
     pub name: &'a str,
     pub zone: &'a str,
-    /// How much of the whole it is to hold, against the others; above 0.
+    /// The member's share of all replicas relative to the other members; above 0.
     pub weight: f64,
-    /// What it holds now, in records.
+    /// The number of records that the member holds now.
     pub load: usize,
 }
 
-/// A member holds no more than this multiple of its part, while others can.
+/// A member holds no more than this multiple of its share while other members have capacity.
 const MAX_LOAD_FACTOR: f64 = 1.25;
-/// Loads below this are no loads: parts of little say nothing.
+/// Loads up to this number of records are ignored: shares of small totals are not significant.
 const MIN_COUNTED_LOAD: usize = 1_000;
 
-/// The names of those that are to hold a stream of a member in `zone`: other zones first, each zone once
-/// while there are more, then by what they draw. Whoever has too much is passed over while others are
-/// there.
+/// Chooses the names of the members that hold a stream of a member in `zone`. Members of other zones come
+/// first, no zone holds a second replica before every other zone holds one, and within these limits
+/// members that are not overloaded precede others, then higher scores lower ones.
 pub fn select_holders<'a>(
     stream: u64,
     zone: &str,
@@ -29,8 +30,8 @@
     let total: f64 = candidates.iter().map(|candidate| candidate.load as f64).sum();
     let weights: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
     let is_overloaded = |candidate: &Candidate| {
-        let part = total * candidate.weight / weights.max(f64::MIN_POSITIVE);
-        candidate.load > MIN_COUNTED_LOAD && candidate.load as f64 > MAX_LOAD_FACTOR * part
+        let share = total * candidate.weight / weights.max(f64::MIN_POSITIVE);
+        candidate.load > MIN_COUNTED_LOAD && candidate.load as f64 > MAX_LOAD_FACTOR * share
     };
     let mut remaining: Vec<(bool, f64, &Candidate)> = candidates
         .iter()
@@ -42,24 +43,23 @@
     let mut zones = vec![zone];
     let mut chosen = Vec::new();
     while chosen.len() < replicas && !remaining.is_empty() {
-        let candidate = match remaining.iter().position(|(_, _, candidate)| !zones.contains(&candidate.zone))
-        {
-            Some(candidate) => candidate,
-            // Each zone has one: the next round begins, our own zone being last.
+        let index = match remaining.iter().position(|(_, _, candidate)| !zones.contains(&candidate.zone)) {
+            Some(index) => index,
+            // Every other zone holds a replica: the next round starts, with the primary's own zone last.
             None if zones.len() > 1 => {
                 zones = vec![zone];
                 remaining.iter().position(|(_, _, candidate)| candidate.zone != zone).unwrap_or_default()
             }
             None => 0,
         };
-        let (_, _, candidate) = remaining.remove(candidate);
+        let (_, _, candidate) = remaining.remove(index);
         zones.push(candidate.zone);
         chosen.push(candidate.name);
     }
     chosen
 }
 
-/// What a member draws for a stream: the higher the weight, the higher as a rule.
+/// A member's score for a stream. A higher weight makes a higher score more likely.
 fn score(stream: u64, candidate: &Candidate) -> f64 {
     let mut hash = mix(stream);
     for byte in candidate.name.bytes() {
--- a/copies/src/primary.rs
+++ b/copies/src/primary.rs
@@ -1,27 +1,30 @@
-//! The writer of a stream: numbers its changes, and sees to it that its holders have them.
+//! The primary of a replication stream: numbers the changes and sends them to the replica holders.
 //!
-//! Each holder is told what follows the last change that it is known to have; one that lacks more than is
-//! log gets the snapshot in parts. Nothing waits for a lagging holder: others are chosen in its place.
+//! Each holder gets the changes that follow the last one that it acknowledged. A holder that lacks changes
+//! which are no longer in the log gets a snapshot in parts. Nothing waits for a lagging holder: another
+//! member is chosen in its place.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::messages::{Message, Part, MAX_RECORDS_PER_MESSAGE};
 use crate::{Call, CallRecord, Change, Millis, StreamId};
 
-/// Changes that are log for holders that lag; past that they get the snapshot.
+/// Bound on the changes in the log, which holders that lag are served from. Holders that lag further get a
+/// snapshot.
 const MAX_RETAINED_CHANGES: usize = 8_192;
-/// Changes that are under way to one holder.
+/// Bound on the changes in flight to one holder.
 const MAX_IN_FLIGHT_CHANGES: u64 = 4_096;
-/// Parts of a snapshot that are under way to one holder.
+/// Bound on the parts of a snapshot in flight to one holder.
 const MAX_IN_FLIGHT_PARTS: u32 = 4;
-/// What is not confirmed is said again after this.
+/// Unacknowledged changes and parts are sent again after this time.
 const RETRANSMIT_INTERVAL_MS: Millis = 300;
-/// Or after so many answers that confirm nothing new: the one before was lost on its way.
+/// Number of acknowledgements without progress that triggers a retransmission at once: a message before
+/// them was lost.
 const DUPLICATE_ACK_THRESHOLD: u32 = 3;
-/// A holder that has confirmed nothing new for so long while something is owed to it is passed over.
+/// A holder that makes no progress for this time while changes are outstanding counts as lagging.
 const LAG_TIMEOUT_MS: Millis = 1_500;
 
-/// How many are to hold each change, and how many must before anybody is told.
+/// How many members should hold each change, and how many have to before the change is committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicationPolicy {
     pub replicas: usize,
@@ -30,15 +33,15 @@
 
 #[derive(Debug)]
 struct HolderProgress {
-    /// Its start: another one holds nothing.
+    /// The incarnation of the holder's process; another incarnation holds nothing.
     boot: u64,
     acked: u64,
     sent: u64,
-    /// When it last confirmed something new, or was last owed nothing; and when it was last told again what
-    /// it had not confirmed.
+    /// When the holder last made progress or had nothing outstanding, and when its unacknowledged changes
+    /// were last sent again.
     progress_at: Millis,
     retransmitted_at: Millis,
-    /// How often it confirmed nothing new since: it lacks what comes next.
+    /// Acknowledgements without progress since then: the holder lacks the next change.
     duplicate_acks: u32,
     snapshot: Option<SnapshotTransfer>,
     is_full: bool,
@@ -67,7 +70,7 @@
     }
 }
 
-/// One stream, at its writer.
+/// A replication stream at its primary.
 #[derive(Debug)]
 pub struct Primary {
     stream: StreamId,
@@ -75,17 +78,17 @@
     policy: ReplicationPolicy,
     sequence: u64,
     records: BTreeMap<Call, CallRecord>,
-    /// The last changes, the latest last.
+    /// The last changes, oldest first.
     log: VecDeque<Change>,
     holders: BTreeMap<String, HolderProgress>,
-    /// Those that are told that they hold it no more.
+    /// Former holders that have to discard their replicas.
     discarding: Vec<String>,
     committed: u64,
     fenced: bool,
 }
 
 impl Primary {
-    /// A stream that begins.
+    /// Starts a stream.
     pub fn new(stream: StreamId, policy: ReplicationPolicy) -> Self {
         Primary {
             stream,
@@ -101,7 +104,7 @@
         }
     }
 
-    /// One that is written on by a successor, from what was found of it.
+    /// Continues a stream as its successor, from the recovered state. The takeover counts as one change.
     pub fn resume(
         stream: StreamId,
         epoch: u64,
@@ -120,7 +123,7 @@
         self.epoch
     }
 
-    /// The sequence of the last change.
+    /// The sequence number of the last change.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
@@ -129,12 +132,12 @@
         &self.records
     }
 
-    /// Whether a holder has said that another one writes this stream.
+    /// Whether a holder has reported that another member is the primary.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// A change; returns its sequence.
+    /// Records a change and returns its sequence number; `None` removes the call.
     pub fn record_change(&mut self, call: Call, record: Option<CallRecord>) -> u64 {
         match record {
             Some(record) => self.records.insert(call, record),
@@ -148,7 +151,7 @@
         self.sequence
     }
 
-    /// All that there is from now on, in place of what was noted; returns the sequence of that change.
+    /// Replaces all records and returns the sequence number of that change.
     pub fn replace(&mut self, records: BTreeMap<Call, CallRecord>) -> u64 {
         self.records = records;
         self.sequence += 1;
@@ -156,7 +159,8 @@
         self.sequence
     }
 
-    /// The last state of each call that changed since all holders had everything: some may not know of it.
+    /// The current state of each call that changed after the last change that all holders have. Some
+    /// holders may lack these changes.
     pub fn unconfirmed_changes(&self) -> Vec<Change> {
         let acked = self.holders.values().map(|holder| holder.acked).min().unwrap_or(0);
         let oldest = self.sequence - self.log.len() as u64;
@@ -166,7 +170,7 @@
         calls.into_iter().map(|call| (call, self.records.get(&call).copied())).collect()
     }
 
-    /// Those that are to hold it from now on, with their starts.
+    /// Sets the holders, each with the incarnation of its process.
     pub fn set_holders(&mut self, now: Millis, holders: &[(String, u64)]) {
         let is_removed = |name: &String| !holders.iter().any(|(holder, _)| holder == name);
         self.discarding.extend(self.holders.keys().filter(|name| is_removed(name)).cloned());
@@ -183,7 +187,7 @@
         self.holders.keys().map(String::as_str)
     }
 
-    /// Holders that lag for too long, or have no room: others should be chosen.
+    /// Holders that have lagged for too long or have no capacity, and that should be replaced.
     pub fn lagging(&self, now: Millis) -> impl Iterator<Item = &str> {
         let is_late = move |holder: &HolderProgress| {
             holder.acked < self.sequence && now > holder.progress_at + LAG_TIMEOUT_MS
@@ -194,7 +198,7 @@
             .map(|(name, _)| name.as_str())
     }
 
-    /// The last change that enough others hold. It never goes back.
+    /// The last change that enough holders have. It never decreases.
     pub fn committed(&self) -> u64 {
         if self.policy.required_acks == 0 {
             return self.sequence;
@@ -202,18 +206,18 @@
         self.committed
     }
 
-    /// The last change that `copies` others hold now.
+    /// The last change that `replicas` holders have now.
     pub fn fully_replicated(&self) -> u64 {
         self.acked_by(self.policy.replicas)
     }
 
-    /// Whether enough others would take a change now: as many as are needed, none of them late.
+    /// Whether enough holders would accept a change now: `required_acks` of them that do not lag.
     pub fn has_capacity(&self, now: Millis) -> bool {
         let lagging = self.lagging(now).count();
         self.holders.len() - lagging >= self.policy.required_acks
     }
 
-    /// Records that fewer than `copies` others hold, at most.
+    /// An upper bound on the records that fewer than `replicas` holders have.
     pub fn under_replicated(&self) -> usize {
         let lacking = self.sequence - self.fully_replicated();
         self.records.len().min(usize::try_from(lacking).unwrap_or(usize::MAX))
@@ -228,7 +232,7 @@
         acked.get(count - 1).copied().unwrap_or(0)
     }
 
-    /// What is to be said now, and to whom.
+    /// Takes the messages that are due, each with the name of its recipient.
     pub fn poll(&mut self, now: Millis) -> Vec<(String, Message)> {
         let (stream, epoch, sequence) = (self.stream, self.epoch, self.sequence);
         let mut messages: Vec<(String, Message)> =
@@ -277,7 +281,7 @@
         messages
     }
 
-    /// A message of a holder, in its start `boot`.
+    /// Handles a message of a holder, sent by its incarnation `boot`.
     pub fn handle_message(&mut self, now: Millis, from: &str, boot: u64, message: Message) {
         let (stream, epoch) = (self.stream, self.epoch);
         let holder = self.holders.get_mut(from).filter(|holder| holder.boot == boot);
@@ -290,7 +294,8 @@
                 if (of, by) == (stream, epoch) =>
             {
                 let Some(holder) = holder.filter(|_| sequence <= self.sequence) else { return };
-                // It has lost what it held; a late message of before only has the snapshot sent once more.
+                // The holder has lost its replica. If the message is merely late, the only consequence is
+                // that the snapshot is sent once more.
                 if sequence == 0 && received_parts == 0 && holder.acked > 0 {
                     *holder =
                         HolderProgress { progress_at: holder.progress_at, ..HolderProgress::new(now, boot) };
--- a/copies/tests/handover.rs
+++ b/copies/tests/handover.rs
@@ -1,4 +1,5 @@
-//! A member that wakes and its successor: which of them tells callers that calls are over.
+//! Handover between a suspended member and its successor: which of the two tells callers that their calls
+//! are released.
 
 use steprelay_copies::member::{ClusterView, Member, PeerMember, Precedence, ReplicationEvent, StreamOwner};
 use steprelay_copies::messages::Message;
@@ -9,16 +10,16 @@
 const CALL: u64 = 7;
 const TICK: Millis = 50;
 
-/// Member 0 promises calls and sleeps; member 1 holds its copies and succeeds it.
+/// Member 0 owns calls and is suspended; member 1 holds its replica and succeeds it.
 struct Pair {
     now: Millis,
     members: [Member; 2],
     stream_owners: Vec<StreamOwner>,
     settled: Vec<StreamId>,
     leased: [bool; 2],
-    /// Member 1 takes member 0 for lost.
+    /// Member 1 has declared member 0 lost.
     is_declared_lost: bool,
-    /// Words that say that calls are over do not arrive.
+    /// `CallsEnded` messages are lost.
     drops_call_ends: bool,
 }
 
@@ -49,7 +50,7 @@
         ClusterView { has_lease: self.leased[of], peers, stream_owners, settled }
     }
 
-    /// Both live on for so long, and hear each other; what each of them is told.
+    /// Runs both members for so many ticks, delivers their messages, and returns the events of each.
     fn run(&mut self, ticks: u64) -> [Vec<ReplicationEvent>; 2] {
         let mut events = [Vec::new(), Vec::new()];
         for _ in 0..ticks {
@@ -67,14 +68,14 @@
                     self.members[to].handle_message(self.now, &name(from), BOOTS[from], message);
                 }
             }
-            for (of, heard) in events.iter_mut().enumerate() {
-                heard.extend(std::iter::from_fn(|| self.members[of].next_event()));
+            for (of, received) in events.iter_mut().enumerate() {
+                received.extend(std::iter::from_fn(|| self.members[of].next_event()));
             }
         }
         events
     }
 
-    /// Member 0 slept, and member 1 writes its stream on.
+    /// Member 0 is suspended, and member 1 takes over its stream.
     fn fail_over(&mut self) -> [Vec<ReplicationEvent>; 2] {
         self.leased[0] = false;
         let before = self.run(1);
@@ -96,40 +97,46 @@
     }
 }
 
-fn relinquished(events: &[ReplicationEvent]) -> bool {
+fn has_relinquished(events: &[ReplicationEvent]) -> bool {
     events.contains(&ReplicationEvent::Relinquished(vec![CALL]))
 }
 
-/// Guards against two final answers of one call, the successor's and that of the member that wakes.
+/// Guards against two final answers to one call: one of the successor and one of the resumed member.
 #[test]
-fn says_which_relinquished_calls_it_has_ended_before_it_confirms() {
+fn reports_ended_relinquished_calls_before_its_acknowledgement() {
     for ended_by_successor in [false, true] {
         let mut pair = Pair::with_established_call();
-        let [woken, successor] = pair.fail_over();
+        let [resumed, successor] = pair.fail_over();
         assert!(successor
             .contains(&ReplicationEvent::TakenOver(vec![(CALL, CallRecord::Established { server: 1 })])));
-        assert!(woken.contains(&ReplicationEvent::OwnershipLost([CALL].into())));
+        assert!(resumed.contains(&ReplicationEvent::OwnershipLost([CALL].into())));
         if ended_by_successor {
-            // The one that sleeps is not among the others that are told at once.
+            // The suspended member is not among the members that are notified at once.
             pair.is_declared_lost = true;
             pair.members[1].announce_release(pair.now, CALL);
             pair.run(1);
             pair.is_declared_lost = false;
         }
         pair.members[0].relinquish(pair.now, vec![CALL]);
-        let [woken, successor] = pair.run(10);
-        let over = woken.iter().position(|events| *events == ReplicationEvent::ReleaseDelivered(vec![CALL]));
-        let confirmed = woken.iter().position(|events| *events == ReplicationEvent::Relinquished(vec![CALL]));
-        assert!(confirmed.is_some(), "{woken:?}");
-        assert_eq!(over.is_some_and(|over| Some(over) < confirmed), ended_by_successor, "{woken:?}");
+        let [resumed, successor] = pair.run(10);
+        let ended = resumed.iter().position(|event| *event == ReplicationEvent::ReleaseDelivered(vec![CALL]));
+        let acknowledged_at =
+            resumed.iter().position(|event| *event == ReplicationEvent::Relinquished(vec![CALL]));
+        assert!(acknowledged_at.is_some(), "{resumed:?}");
+        assert_eq!(
+            ended.is_some_and(|ended| Some(ended) < acknowledged_at),
+            ended_by_successor,
+            "{resumed:?}"
+        );
         let dropped = successor.contains(&ReplicationEvent::LateChanges(vec![(CALL, None)]));
         assert_eq!(dropped, !ended_by_successor, "{successor:?}");
     }
 }
 
-/// Guards against callers that are told nothing, since the successor had kept all and forgot the stream.
+/// Guards against callers that are told nothing because the successor had ended all calls and forgotten the
+/// stream.
 #[test]
-fn confirms_relinquished_calls_of_a_stream_that_is_settled() {
+fn acknowledges_relinquished_calls_of_a_settled_stream() {
     let mut pair = Pair::with_established_call();
     pair.fail_over();
     pair.members[1].record_change(CALL, None);
@@ -137,12 +144,12 @@
     pair.settled = pair.stream_owners.drain(..).map(|owner| owner.stream).collect();
     pair.run(1);
     pair.members[0].relinquish(pair.now, vec![CALL]);
-    assert!(relinquished(&pair.run(10)[0]));
+    assert!(has_relinquished(&pair.run(10)[0]));
 }
 
-/// Guards against a caller that is told a verdict which the successor may have contradicted, or will.
+/// Guards against a caller that is told an outcome which the successor contradicts, or has contradicted.
 #[test]
-fn leaves_calls_to_a_successor_that_never_confirms() {
+fn leaves_calls_to_a_successor_that_never_acknowledges() {
     let mut pair = Pair::with_established_call();
     pair.fail_over();
     pair.members[0].relinquish(pair.now, vec![CALL]);
@@ -155,14 +162,14 @@
         events.extend(std::iter::from_fn(|| pair.members[0].next_event()));
     }
     assert!(
-        !relinquished(&events) && events.contains(&ReplicationEvent::ReleaseDelivered(vec![CALL])),
+        !has_relinquished(&events) && events.contains(&ReplicationEvent::ReleaseDelivered(vec![CALL])),
         "{events:?}"
     );
 }
 
-/// Guards against a release that the member that wakes gives, and hands to its successor too.
+/// Guards against a release that the resumed member delivers and also hands over to its successor.
 #[test]
-fn hands_over_no_release_that_it_gives_itself() {
+fn hands_over_no_release_that_it_delivers_itself() {
     for is_released_locally in [false, true] {
         let mut pair = Pair::with_established_call();
         pair.leased[0] = false;
@@ -176,7 +183,12 @@
         pair.drops_call_ends = false;
         successor.append(&mut pair.run(10)[1]);
         let pending = (CALL, Some(CallRecord::ReleasePending { server: 1, cause: 16 }));
-        let is_handed = |events: &ReplicationEvent| matches!(events, ReplicationEvent::LateChanges(changes) if changes.contains(&pending));
+        let is_handed = |event: &ReplicationEvent| {
+            matches!(
+                event,
+                ReplicationEvent::LateChanges(changes) if changes.contains(&pending)
+            )
+        };
         assert_eq!(successor.iter().any(is_handed), !is_released_locally, "{successor:?}");
         assert_eq!(
             successor.contains(&ReplicationEvent::EndedElsewhere(vec![CALL], Precedence::Theirs)),
@@ -184,50 +196,54 @@
             "{successor:?}"
         );
         let kept = pair.members[0].primaries().any(|primary| primary.records().contains_key(&CALL));
-        assert_eq!(kept, is_released_locally, "whoever gives it keeps it until it is confirmed");
+        assert_eq!(
+            kept, is_released_locally,
+            "the member that delivers the release keeps its record until it is acknowledged"
+        );
     }
 }
 
-/// Guards against the answer to the question being taken for events of this member's own.
+/// Guards against taking calls that other members ended for calls that this member ended.
 #[test]
-fn says_nothing_of_calls_that_others_ended() {
+fn reports_no_calls_that_other_members_ended() {
     let mut pair = Pair::with_established_call();
     pair.fail_over();
-    let over = Message::CallsEnded { id: 9, calls: vec![CALL] };
-    pair.members[1].handle_message(pair.now, "n9", 99, over);
+    let ended = Message::CallsEnded { id: 9, calls: vec![CALL] };
+    pair.members[1].handle_message(pair.now, "n9", 99, ended);
     pair.members[0].relinquish(pair.now, vec![CALL]);
-    let [woken, _] = pair.run(10);
+    let [resumed, _] = pair.run(10);
     assert!(
-        relinquished(&woken) && !woken.contains(&ReplicationEvent::ReleaseDelivered(vec![CALL])),
-        "{woken:?}"
+        has_relinquished(&resumed) && !resumed.contains(&ReplicationEvent::ReleaseDelivered(vec![CALL])),
+        "{resumed:?}"
     );
 }
 
-/// Guards against a release that the member that wakes gives, since the answer that its successor has given
-/// it went to those alone whom the successor takes for alive.
+/// Guards against a release that the resumed member delivers a second time because its successor, which has
+/// delivered it, notified only the members that it considers alive.
 #[test]
-fn says_to_whoever_asks_that_it_has_given_a_release() {
+fn tells_every_requester_of_a_delivered_release() {
     let mut pair = Pair::with_established_call();
     pair.is_declared_lost = true;
     pair.fail_over();
     pair.members[0].announce_release(pair.now, CALL);
-    let [mut woken, successor] = pair.run(1);
+    let [mut resumed, successor] = pair.run(1);
     let question = successor.iter().find_map(|events| match events {
         ReplicationEvent::Barrier(question) => Some(question.clone()),
         _ => None,
     });
     pair.members[1].release_delivered(pair.now, CALL);
-    pair.members[1].confirm(question.expect("it is asked"));
-    woken.append(&mut pair.run(2)[0]);
-    let given = woken.iter().position(|events| *events == ReplicationEvent::ReleaseDelivered(vec![CALL]));
-    let all_told = woken.iter().position(|events| *events == ReplicationEvent::AllNotified(vec![CALL]));
-    assert!(given.is_some() && given < all_told, "{woken:?}");
+    pair.members[1].confirm(question.expect("a request is queued"));
+    resumed.append(&mut pair.run(2)[0]);
+    let delivered = resumed.iter().position(|event| *event == ReplicationEvent::ReleaseDelivered(vec![CALL]));
+    let all_notified = resumed.iter().position(|event| *event == ReplicationEvent::AllNotified(vec![CALL]));
+    assert!(delivered.is_some() && delivered < all_notified, "{resumed:?}");
 }
 
-/// Guards against a second release where the member that gave it is lost before its server heard of that: a
-/// replica answers for what was acknowledged, and for nothing that was only let go of.
+/// Guards against a second release when the member that delivered the first is lost before the server
+/// learns of the acknowledgement: a replica holder reports releases that were acknowledged, and none of
+/// calls that were merely removed.
 #[test]
-fn answers_for_a_release_that_was_acknowledged_to_a_lost_member() {
+fn reports_a_release_acknowledged_to_a_lost_member() {
     for acknowledged in [false, true] {
         let mut pair = Pair::with_established_call();
         pair.members[0].record_change(CALL, Some(CallRecord::ReleasePending { server: 1, cause: 16 }));
@@ -237,20 +253,21 @@
         pair.members[0].record_change(CALL, None);
         pair.run(1);
         pair.members[1].take_messages();
-        let asks = Message::CallsEnded { id: 9, calls: vec![CALL] };
-        pair.members[1].handle_message(pair.now, "n9", 99, asks);
-        let claims = ("n9".to_string(), Message::CallsEnded { id: 0, calls: vec![CALL] });
-        assert_eq!(pair.members[1].take_messages().contains(&claims), acknowledged, "another asks");
+        let request = Message::CallsEnded { id: 9, calls: vec![CALL] };
+        pair.members[1].handle_message(pair.now, "n9", 99, request);
+        let reply = ("n9".to_string(), Message::CallsEnded { id: 0, calls: vec![CALL] });
+        assert_eq!(pair.members[1].take_messages().contains(&reply), acknowledged, "reply to another member");
         pair.members[1].announce_release(pair.now, CALL);
         let events: Vec<ReplicationEvent> = std::iter::from_fn(|| pair.members[1].next_event()).collect();
-        let given = events.contains(&ReplicationEvent::ReleaseDelivered(vec![CALL]));
-        assert_eq!(given, acknowledged, "its own server says it: {events:?}");
+        let delivered = events.contains(&ReplicationEvent::ReleaseDelivered(vec![CALL]));
+        assert_eq!(delivered, acknowledged, "release from its own server: {events:?}");
     }
 }
 
-/// Guards against the same where the server is quicker than what the replica hears.
+/// Guards against a second release when the server's release arrives before the notice of the
+/// acknowledgement does.
 #[test]
-fn gives_up_a_release_that_it_hears_was_acknowledged() {
+fn cancels_a_release_reported_as_acknowledged() {
     let mut pair = Pair::with_established_call();
     pair.members[1].announce_release(pair.now, CALL);
     pair.members[0].release_acknowledged(CALL);
@@ -258,42 +275,42 @@
     assert!(pair.run(1)[1].contains(&ReplicationEvent::ReleaseDelivered(vec![CALL])));
 }
 
-/// Guards against a release that nobody gives: its member had told the others that it is about to, and was
-/// lost before that. While that member is there, it is left to it.
+/// Guards against a release that nobody delivers because the member that had announced it is lost. While
+/// that member is alive, the release is left to it.
 #[test]
-fn takes_over_a_pending_release_that_its_lost_member_had_announced() {
-    for lost in [false, true] {
+fn takes_over_a_pending_release_announced_by_a_lost_member() {
+    for is_lost in [false, true] {
         let mut pair = Pair::with_established_call();
         let pending = CallRecord::ReleasePending { server: 1, cause: 16 };
         pair.members[0].announce_release(pair.now, CALL);
         pair.members[0].record_change(CALL, Some(pending));
         pair.run(5);
-        pair.is_declared_lost = lost;
+        pair.is_declared_lost = is_lost;
         let [_, successor] = pair.fail_over();
         assert_eq!(
             successor.contains(&ReplicationEvent::TakenOver(vec![(CALL, pending)])),
-            lost,
+            is_lost,
             "{successor:?}"
         );
     }
 }
 
-/// Guards against a release that two members give, one of which had heard that the other is about to: it is
-/// left to that one while it is there, and given here once it is lost.
+/// Guards against a release that two members deliver although one had heard the other's announcement. It is
+/// left to the announcing member while that one is alive, and delivered here once that one is lost.
 #[test]
 fn leaves_a_release_to_the_living_member_that_announced_it() {
-    for lost in [false, true] {
+    for is_lost in [false, true] {
         let mut pair = Pair::with_established_call();
         pair.members[0].announce_release(pair.now, CALL);
         pair.run(5);
         pair.members[1].announce_release(pair.now, CALL);
-        pair.is_declared_lost = lost;
+        pair.is_declared_lost = is_lost;
         let [announcer, other] = pair.run(150);
-        assert_eq!(other.contains(&ReplicationEvent::AllNotified(vec![CALL])), lost, "{other:?}");
-        assert_eq!(other.contains(&ReplicationEvent::DelegatedToPeer(vec![CALL])), !lost, "{other:?}");
+        assert_eq!(other.contains(&ReplicationEvent::AllNotified(vec![CALL])), is_lost, "{other:?}");
+        assert_eq!(other.contains(&ReplicationEvent::DelegatedToPeer(vec![CALL])), !is_lost, "{other:?}");
         assert!(
-            lost || announcer.contains(&ReplicationEvent::EndedElsewhere(vec![CALL], Precedence::Ours)),
-            "it is asked"
+            is_lost || announcer.contains(&ReplicationEvent::EndedElsewhere(vec![CALL], Precedence::Ours)),
+            "a request is queued"
         );
     }
 }
--- a/copies/tests/lives.rs
+++ b/copies/tests/lives.rs
@@ -1,5 +1,6 @@
-//! Lives of a stream under a fake now: a primary, holders and a successor on a network that loses, delays,
-//! doubles and reorders, with members that are lost. Judged by the list of changes alone.
+//! Simulations of a replication stream in virtual time: a primary, replica holders and a successor on a
+//! network that loses, delays, duplicates and reorders messages, with members that are lost. The list of
+//! changes alone decides whether a run is correct.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,20 +18,20 @@
 struct SimulatedMember {
     boot: u64,
     holder: ReplicaHolder,
-    alive: bool,
+    is_alive: bool,
 }
 
-/// Members by their numbers; 0 writes first.
+/// Members are identified by their index; member 0 is the first primary.
 struct Simulation {
     now: u64,
     rng: StdRng,
     members: Vec<SimulatedMember>,
     primaries: BTreeMap<usize, Primary>,
     failover: Option<(usize, Failover)>,
-    wire: BTreeMap<(u64, u64), (usize, u64, usize, Message)>,
+    network: BTreeMap<(u64, u64), (usize, u64, usize, Message)>,
     sent: u64,
     loss: f64,
-    /// Everything that was ever noted by the first primary, in order.
+    /// Every change that the first primary recorded, in order.
     changes: Vec<Change>,
 }
 
@@ -40,7 +41,7 @@
 
 impl Simulation {
     fn new(seed: u64, members: usize, required_acks: usize) -> Self {
-        let member = |boot| SimulatedMember { boot, holder: ReplicaHolder::default(), alive: true };
+        let member = |boot| SimulatedMember { boot, holder: ReplicaHolder::default(), is_alive: true };
         let policy = ReplicationPolicy { replicas: 2, required_acks };
         Simulation {
             now: 0,
@@ -48,7 +49,7 @@
             members: (0..members as u64).map(member).collect(),
             primaries: BTreeMap::from([(0, Primary::new(STREAM, policy))]),
             failover: None,
-            wire: BTreeMap::new(),
+            network: BTreeMap::new(),
             sent: 0,
             loss: 0.2,
             changes: Vec::new(),
@@ -56,10 +57,10 @@
     }
 
     fn primary(&mut self, of: usize) -> &mut Primary {
-        self.primaries.get_mut(&of).expect("it writes")
+        self.primaries.get_mut(&of).expect("a primary")
     }
 
-    /// A call begins, goes on or ends.
+    /// A call starts, changes its state or ends.
     fn record_change(&mut self) {
         let call = self.rng.random_range(0..400);
         let record = match self.rng.random_range(0..4) {
@@ -72,7 +73,7 @@
         self.primary(0).record_change(call, record);
     }
 
-    /// What a prefix of the changes amounts to.
+    /// The records after the first `sequence` changes.
     fn state_at(&self, sequence: u64) -> BTreeMap<Call, CallRecord> {
         let mut state = BTreeMap::new();
         for (call, record) in &self.changes[..sequence as usize] {
@@ -84,7 +85,7 @@
         state
     }
 
-    fn post(&mut self, from: usize, to: usize, message: Message) {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
         if self.rng.random_bool(self.loss) {
             return;
         }
@@ -92,7 +93,7 @@
             let at = self.now + self.rng.random_range(1..80);
             self.sent += 1;
             let boot = self.members[from].boot;
-            self.wire.insert((at, self.sent), (from, boot, to, message.clone()));
+            self.network.insert((at, self.sent), (from, boot, to, message.clone()));
         }
     }
 
@@ -100,10 +101,10 @@
         name[1..].parse().expect("a member")
     }
 
-    /// The holders of a member's stream are those after it that live.
-    fn place(&mut self, of: usize) {
+    /// The holders of a member's stream are the two living members that follow it.
+    fn place_replicas(&mut self, of: usize) {
         let count = self.members.len();
-        let others = (1..count).map(|step| (of + step) % count).filter(|other| self.members[*other].alive);
+        let others = (1..count).map(|step| (of + step) % count).filter(|other| self.members[*other].is_alive);
         let holders: Vec<(String, u64)> =
             others.take(2).map(|other| (name(other), self.members[other].boot)).collect();
         let now = self.now;
@@ -112,29 +113,29 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        while let Some((&at, _)) = self.wire.first_key_value() {
+        while let Some((&at, _)) = self.network.first_key_value() {
             if at.0 > self.now {
                 break;
             }
-            let Some((from, boot, to, message)) = self.wire.remove(&at) else { break };
+            let Some((from, boot, to, message)) = self.network.remove(&at) else { break };
             self.deliver(from, boot, to, message);
         }
         for of in self.primaries.keys().copied().collect::<Vec<_>>() {
             let now = self.now;
             for (to, message) in self.primary(of).poll(now) {
-                self.post(of, Self::number_of(&to), message);
+                self.send(of, Self::number_of(&to), message);
             }
         }
         if let Some((by, mut failover)) = self.failover.take() {
             for (to, message) in failover.poll(self.now) {
-                self.post(by, Self::number_of(&to), message);
+                self.send(by, Self::number_of(&to), message);
             }
             self.failover = Some((by, failover));
         }
     }
 
     fn deliver(&mut self, from: usize, boot: u64, to: usize, message: Message) {
-        if !self.members[to].alive {
+        if !self.members[to].is_alive {
             return;
         }
         match &message {
@@ -154,7 +155,7 @@
                 let now = self.now;
                 if let Some(answer) = self.members[to].holder.handle_message(now, &name(from), boot, message)
                 {
-                    self.post(to, from, answer);
+                    self.send(to, from, answer);
                 }
             }
         }
@@ -164,14 +165,14 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    fn kill(&mut self, member: usize) {
-        self.members[member].alive = false;
+    fn crash(&mut self, member: usize) {
+        self.members[member].is_alive = false;
         self.members[member].holder = ReplicaHolder::default();
     }
 
-    /// A member succeeds by an epoch; what it recovered.
+    /// A member takes over the stream in an epoch; returns the state that it recovered.
     fn fail_over(&mut self, by: usize, epoch: u64) -> RecoveredStream {
-        let others = (0..self.members.len()).filter(|other| *other != by && self.members[*other].alive);
+        let others = (0..self.members.len()).filter(|other| *other != by && self.members[*other].is_alive);
         let others: Vec<String> = others.map(name).collect();
         self.members[by].holder.fence(STREAM, epoch);
         let own = self.members[by].holder.replica(STREAM).map(|replica| RecoveredStream {
@@ -189,40 +190,41 @@
                 let primary =
                     Primary::resume(STREAM, epoch, policy, recovered.sequence, recovered.records.clone());
                 self.primaries.insert(by, primary);
-                self.place(by);
+                self.place_replicas(by);
                 return recovered;
             }
         }
     }
 }
 
-/// With `required_acks` holders, as many machines may be lost with the primary as are required_acks less one: whatever was
-/// committed is recovered by the successor, and nothing that never was.
+/// With `required_acks` holders, `required_acks` - 1 machines may be lost together with the primary: the
+/// successor recovers every committed change, and nothing that was never recorded.
 #[test]
-fn what_was_covered_outlives_the_machines_that_were_reckoned_with() {
-    let mut moved = 0;
+fn committed_changes_survive_the_tolerated_losses() {
+    let mut with_commits = 0;
     for seed in 0..300 {
         let required_acks = 1 + (seed % 2) as usize;
         let mut simulation = Simulation::new(seed, 6, required_acks);
-        simulation.place(0);
-        let (steps, pace) = (simulation.rng.random_range(5..200), simulation.rng.random_range(1..60));
+        simulation.place_replicas(0);
+        let (steps, changes_per_step) =
+            (simulation.rng.random_range(5..200), simulation.rng.random_range(1..60));
         for _ in 0..steps {
-            (0..pace).for_each(|_| simulation.record_change());
+            (0..changes_per_step).for_each(|_| simulation.record_change());
             simulation.step();
         }
         let committed = simulation.primary(0).committed();
-        let told = simulation.primaries.remove(&0).expect("it writes");
-        simulation.kill(0);
+        let suspended = simulation.primaries.remove(&0).expect("a primary");
+        simulation.crash(0);
         if required_acks == 2 {
-            simulation.kill(1);
+            simulation.crash(1);
         }
         let recovered = simulation.fail_over(2, 1);
         assert!(recovered.sequence >= committed, "seed {seed}: {} of {committed}", recovered.sequence);
         assert_eq!(recovered.records, simulation.state_at(recovered.sequence), "seed {seed}");
-        moved += usize::from(committed > 0);
-        // The one that was taken for dead only slept, and goes on: nobody believes it.
-        simulation.members[0].alive = true;
-        simulation.primaries.insert(0, told);
+        with_commits += usize::from(committed > 0);
+        // The first primary was only suspended and continues, but every holder rejects it.
+        simulation.members[0].is_alive = true;
+        simulation.primaries.insert(0, suspended);
         for _ in 0..100 {
             simulation.record_change();
             simulation.step();
@@ -241,65 +243,66 @@
             assert_eq!((replica.epoch(), replica.records()), (1, &records), "seed {seed}, {holder}");
         }
     }
-    assert!(moved > 200, "{moved} lives had anything to lose");
+    assert!(with_commits > 200, "only {with_commits} runs had committed changes");
 }
 
-/// The successor is lost in the middle, and another one succeeds it: what was committed first is still there.
+/// The successor is lost in the middle of the failover and a second one succeeds it: changes that were
+/// committed before the first loss are still there.
 #[test]
-fn a_successor_that_is_lost_is_succeeded() {
+fn a_lost_successor_is_succeeded() {
     for seed in 0..200 {
         let mut simulation = Simulation::new(seed, 6, 2);
-        simulation.place(0);
+        simulation.place_replicas(0);
         for _ in 0..60 {
             (0..20).for_each(|_| simulation.record_change());
             simulation.step();
         }
         let committed = simulation.primary(0).committed();
         simulation.primaries.remove(&0);
-        simulation.kill(0);
+        simulation.crash(0);
         let recovered = simulation.fail_over(1, 1);
         let steps = simulation.rng.random_range(0..80);
         simulation.run(steps);
-        // It has given some of them their release, and told its holders, or not yet.
-        let given: Vec<Call> = recovered.records.keys().copied().take(20).collect();
-        for call in &given {
+        // The first successor has released some calls; its holders may have received these changes or not.
+        let released: Vec<Call> = recovered.records.keys().copied().take(20).collect();
+        for call in &released {
             simulation.primary(1).record_change(*call, None);
         }
         let steps = simulation.rng.random_range(0..80);
         simulation.run(steps);
-        let gone_on = simulation.primary(1).committed() > recovered.sequence;
+        let has_progressed = simulation.primary(1).committed() > recovered.sequence;
         simulation.primaries.remove(&1);
-        simulation.kill(1);
-        let again = simulation.fail_over(2, 2);
+        simulation.crash(1);
+        let second = simulation.fail_over(2, 2);
         assert!(recovered.sequence >= committed, "seed {seed}");
-        let kept = recovered.records.iter().filter(|(call, _)| !given.contains(call));
-        for (call, record) in kept {
-            assert_eq!(again.records.get(call), Some(record), "seed {seed}, call {call}, {gone_on}");
+        let unreleased = recovered.records.iter().filter(|(call, _)| !released.contains(call));
+        for (call, record) in unreleased {
+            assert_eq!(second.records.get(call), Some(record), "seed {seed}, call {call}, {has_progressed}");
         }
     }
 }
 
-/// Holders that lose all they hold, are replaced or come back end with what the primary has.
+/// Holders that lose their replicas, are replaced or return end up with all records of the primary.
 #[test]
-fn holders_that_are_lost_are_made_whole_again() {
+fn lost_holders_are_replicated_to_again() {
     for seed in 0..100 {
         let mut simulation = Simulation::new(seed, 5, 1);
-        simulation.place(0);
+        simulation.place_replicas(0);
         for step in 0..300 {
-            // Beyond what is kept for those that lag, in some lives.
+            // In some runs, more changes than the log retains for lagging holders.
             (0..if seed % 3 == 0 { 60 } else { 3 }).for_each(|_| simulation.record_change());
             simulation.step();
             if step % 50 == 25 {
                 let lost = simulation.rng.random_range(1..5);
-                let back = simulation.rng.random_bool(0.5);
-                simulation.kill(lost);
+                let is_back = simulation.rng.random_bool(0.5);
+                simulation.crash(lost);
                 simulation.members[lost].boot += 100;
-                simulation.members[lost].alive = back;
-                simulation.place(0);
+                simulation.members[lost].is_alive = is_back;
+                simulation.place_replicas(0);
             }
         }
-        simulation.members.iter_mut().for_each(|member| member.alive = true);
-        simulation.place(0);
+        simulation.members.iter_mut().for_each(|member| member.is_alive = true);
+        simulation.place_replicas(0);
         simulation.loss = 0.0;
         simulation.run(400);
         let (sequence, records) = (simulation.primary(0).sequence(), simulation.primary(0).records().clone());
@@ -320,37 +323,37 @@
     }
 }
 
-/// What is lost on the way is said again soon, however much there is to say meanwhile.
+/// Lost messages are sent again soon, no matter how many new changes there are meanwhile.
 #[test]
-fn what_is_new_is_covered_soon_on_a_bad_network() {
+fn changes_are_committed_soon_on_a_lossy_network() {
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed, 5, 1);
-        simulation.place(0);
-        // When each sequence was noted, and the longest that one waited.
-        let (mut noted, mut longest) = (VecDeque::new(), 0);
+        simulation.place_replicas(0);
+        // When each uncommitted change was recorded, and the longest wait for a commit.
+        let (mut recorded_at, mut longest) = (VecDeque::new(), 0);
         for _ in 0..1_000 {
             simulation.record_change();
-            noted.push_back(simulation.now);
+            recorded_at.push_back(simulation.now);
             simulation.step();
             let open = simulation.primary(0).sequence() - simulation.primary(0).committed();
-            noted.drain(..noted.len() - open as usize);
-            longest = longest.max(noted.front().map_or(0, |at| simulation.now - at));
+            recorded_at.drain(..recorded_at.len() - open as usize);
+            longest = longest.max(recorded_at.front().map_or(0, |at| simulation.now - at));
         }
         assert!(longest < 450, "seed {seed}: {longest} ms");
     }
 }
 
-/// A holder that is cut off is slow, and others cover what is new without it.
+/// A partitioned holder counts as lagging, and other holders commit new changes without it.
 #[test]
-fn a_slow_holder_is_passed_over() {
+fn a_lagging_holder_does_not_delay_commits() {
     let mut primary = Primary::new(STREAM, ReplicationPolicy { replicas: 2, required_acks: 1 });
-    let mut quick = ReplicaHolder::default();
+    let mut responsive = ReplicaHolder::default();
     primary.set_holders(0, &[("n1".into(), 1), ("n2".into(), 1)]);
     let mut sequence = 0;
     for now in (0..3_000).step_by(10) {
         sequence = primary.record_change(now, Some(CallRecord::Established { server: 1 }));
         for (to, message) in primary.poll(now) {
-            let answer = (to == "n1").then(|| quick.handle_message(now, "n0", 0, message)).flatten();
+            let answer = (to == "n1").then(|| responsive.handle_message(now, "n0", 0, message)).flatten();
             answer.into_iter().for_each(|answer| primary.handle_message(now, "n1", 1, answer));
         }
     }
@@ -360,13 +363,13 @@
     assert_eq!((primary.fully_replicated(), primary.under_replicated()), (0, 300));
     primary.set_holders(3_000, &[("n2".into(), 1)]);
     assert!(!primary.has_capacity(5_000));
-    let told: Vec<_> = primary.poll(5_000).into_iter().filter(|(to, _)| to == "n1").collect();
-    assert_eq!(told, [("n1".into(), Message::Discard { stream: STREAM, epoch: 0 })]);
+    let sent: Vec<_> = primary.poll(5_000).into_iter().filter(|(to, _)| to == "n1").collect();
+    assert_eq!(sent, [("n1".into(), Message::Discard { stream: STREAM, epoch: 0 })]);
 }
 
-/// What is over stays over, whatever comes late.
+/// Guards against a closed stream that a late message recreates.
 #[test]
-fn a_stream_that_is_over_comes_back_by_no_late_word() {
+fn a_late_message_does_not_recreate_a_closed_stream() {
     let mut holder = ReplicaHolder::default();
     let message = Message::Append {
         stream: STREAM,
@@ -381,36 +384,37 @@
     assert_eq!((holder.record_count(), holder.replicas().count()), (0, 0));
 }
 
-/// From a successor's question on, the primary before it is told that it writes no more, and no message of it
-/// counts: what the successor was told would else be less than what is held.
+/// A holder that a successor has queried fences the previous primary and rejects its changes. Otherwise the
+/// successor would have recovered less than what the holder has.
 #[test]
-fn whoever_was_asked_by_a_successor_takes_nothing_of_the_one_before() {
+fn a_queried_holder_rejects_the_previous_primary() {
     let mut holder = ReplicaHolder::default();
-    let stands = Some(CallRecord::Established { server: 1 });
+    let established = Some(CallRecord::Established { server: 1 });
     let message =
-        |after, call| Message::Append { stream: STREAM, epoch: 0, after, changes: vec![(call, stands)] };
+        |after, call| Message::Append { stream: STREAM, epoch: 0, after, changes: vec![(call, established)] };
     assert!(matches!(
         holder.handle_message(0, "n0", 0, message(0, 1)),
         Some(Message::Ack { sequence: 1, .. })
     ));
-    let asked = holder.handle_message(0, "n2", 0, Message::Fetch { stream: STREAM, epoch: 1, from: 0 });
-    assert!(matches!(asked, Some(Message::Fetched { sequence: 1, .. })));
+    let reply = holder.handle_message(0, "n2", 0, Message::Fetch { stream: STREAM, epoch: 1, from: 0 });
+    assert!(matches!(reply, Some(Message::Fetched { sequence: 1, .. })));
     assert!(matches!(
         holder.handle_message(0, "n0", 0, message(1, 2)),
         Some(Message::Fenced { epoch: 1, .. })
     ));
-    // Nor does one that held nothing begin now.
+    // A holder without a replica rejects the previous primary as well.
     let mut empty = ReplicaHolder::default();
     empty.handle_message(0, "n2", 0, Message::Fetch { stream: STREAM, epoch: 1, from: 0 });
     assert!(matches!(
         empty.handle_message(0, "n0", 0, message(0, 1)),
         Some(Message::Fenced { epoch: 1, .. })
     ));
-    // An older question is answered by no one.
-    let asked = holder.handle_message(0, "n3", 0, Message::Fetch { stream: STREAM, epoch: 0, from: 0 });
-    assert!(matches!(asked, Some(Message::Fenced { epoch: 1, .. })));
-    // The successor's first message is the whole: changes on what the one before wrote would be of another past.
-    let changes = Message::Append { stream: STREAM, epoch: 1, after: 1, changes: vec![(3, stands)] };
+    // A query of an older epoch is rejected.
+    let reply = holder.handle_message(0, "n3", 0, Message::Fetch { stream: STREAM, epoch: 0, from: 0 });
+    assert!(matches!(reply, Some(Message::Fenced { epoch: 1, .. })));
+    // The successor starts with a snapshot: its changes do not apply to a replica that the previous primary
+    // wrote.
+    let changes = Message::Append { stream: STREAM, epoch: 1, after: 1, changes: vec![(3, established)] };
     assert!(matches!(holder.handle_message(0, "n2", 0, changes), Some(Message::Ack { sequence: 0, .. })));
     assert_eq!(holder.replica(STREAM).expect("held").records().keys().collect::<Vec<_>>(), [&1]);
 }
--- a/copies/tests/placement.rs
+++ b/copies/tests/placement.rs
@@ -1,11 +1,11 @@
-//! Who holds what: spread, moves at a change, zones, loads.
+//! Placement of replicas: even spread, moves when a member joins, zones and loads.
 
 use std::collections::BTreeMap;
 
 use steprelay_copies::placement::{select_holders, Candidate};
 
 fn names(count: usize) -> Vec<(String, String)> {
-    (0..count).map(|place| (format!("n{place}"), format!("z{}", place % 3))).collect()
+    (0..count).map(|index| (format!("n{index}"), format!("z{}", index % 3))).collect()
 }
 
 fn candidates(names: &[(String, String)]) -> Vec<Candidate<'_>> {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn holders_lie_in_other_zones_first_and_are_spread() {
+fn holders_are_in_other_zones_and_evenly_spread() {
     let names = names(9);
     let candidates = candidates(&names);
     let mut held: BTreeMap<&str, usize> = BTreeMap::new();
@@ -22,21 +22,24 @@
         let chosen = select_holders(stream, &own, &candidates, 2);
         let zones: Vec<&str> = chosen
             .iter()
-            .map(|name| candidates.iter().find(|place| place.name == *name).expect("a place").zone)
+            .map(|name| {
+                candidates.iter().find(|candidate| candidate.name == *name).expect("a candidate").zone
+            })
             .collect();
         assert!(zones[0] != zones[1] && !zones.contains(&own.as_str()), "{own} {zones:?}");
         chosen.into_iter().for_each(|name| *held.entry(name).or_default() += 1);
     }
     assert!(held.values().all(|count| (1_800..2_200).contains(count)), "{held:?}");
-    // More copies than zones, and than members.
+    // More replicas than zones, and than members.
     assert_eq!(select_holders(1, "z0", &candidates, 4).len(), 4);
     assert_eq!(select_holders(1, "z0", &candidates[..1], 4), ["n0"]);
     assert!(select_holders(1, "z0", &[], 2).is_empty());
 }
 
-/// One member more takes its part from all others, and nothing else moves; by modulo nearly all moves.
+/// An added member takes its share from all others and nothing else moves; with a modulo, nearly everything
+/// moves.
 #[test]
-fn one_member_more_moves_its_part_alone() {
+fn an_added_member_moves_only_its_share() {
     let names = names(10);
     let (all, before) = (candidates(&names), candidates(&names[..9]));
     let (mut moved, mut by_modulo) = (0, 0);
@@ -49,18 +52,21 @@
         by_modulo += usize::from(stream % 10 != stream % 9);
     }
     assert!((900..1_100).contains(&moved), "{moved}");
-    println!("one of ten more: {moved} of {streams} move (ideal {}), by modulo {by_modulo}", streams / 10);
+    println!(
+        "a tenth member: {moved} of {streams} streams move (ideal {}), by modulo {by_modulo}",
+        streams / 10
+    );
 }
 
 #[test]
-fn weights_and_loads_count() {
+fn weights_and_loads_affect_placement() {
     let names = names(3);
     let mut candidates = candidates(&names);
     candidates[0].weight = 2.0;
     let first = |candidates: &[Candidate], name: &str| {
         (0..4_000).filter(|stream| select_holders(*stream, "z9", candidates, 1) == [name]).count()
     };
-    assert!((1_900..2_100).contains(&first(&candidates, "n0")), "half of the weight");
+    assert!((1_900..2_100).contains(&first(&candidates, "n0")), "half of the total weight");
     (candidates[0].load, candidates[1].load, candidates[2].load) = (60_000, 1_000, 1_000);
-    assert_eq!(first(&candidates, "n0"), 0, "it holds too much already");
+    assert_eq!(first(&candidates, "n0"), 0, "n0 is overloaded");
 }
