--- a/agent/benches/copies.rs
+++ b/agent/benches/copies.rs
@@ -64,12 +64,12 @@
     sleep(Duration::from_secs(3));
     let from = rig.history.now();
     let used = |rig: &Rig| (0..SIZE).map(|place| rig.processor_ms(place)).sum::<u64>();
-    let (processor, octets) = (used(&rig), rig.mesh.passed().1);
+    let (processor, octets) = (used(&rig), rig.mesh.forwarded().1);
     sleep(WATCHED);
     let delays = delays(&rig.history.events(), from);
     let calls = delays.len() as f64;
     let processor = (used(&rig) - processor) as f64 * 1_000.0 / calls;
-    let octets = (rig.mesh.passed().1 - octets) as f64 / calls;
+    let octets = (rig.mesh.forwarded().1 - octets) as f64 / calls;
     let part = |part: usize| delays[(delays.len() - 1) * part / 100];
     (processor, octets, part(50), part(99))
 }
--- a/agent/benches/fleet.rs
+++ b/agent/benches/fleet.rs
@@ -136,13 +136,13 @@
         rig.settle();
         sleep(Duration::from_secs(3));
         let before: Vec<u64> = (0..size).map(|place| rig.processor_ms(place)).collect();
-        let (_, octets) = rig.mesh.passed();
+        let (_, octets) = rig.mesh.forwarded();
         sleep(WATCHED);
         let seconds = WATCHED.as_secs_f64();
         let used = |place: usize| (rig.processor_ms(place) - before[place]) as f64 / seconds;
         let mut used: Vec<f64> = (0..size).map(used).collect();
         used.sort_by(f64::total_cmp);
-        let sent = (rig.mesh.passed().1 - octets) as f64 / seconds / size as f64;
+        let sent = (rig.mesh.forwarded().1 - octets) as f64 / seconds / size as f64;
         println!(
             "idle, {size:2} members: {sent:6.0} octets/s a member, processor {:.1} ms/s median, {:.1} worst",
             used[size / 2],
--- a/agent/tests/copies.rs
+++ b/agent/tests/copies.rs
@@ -163,7 +163,7 @@
 #[test]
 fn a_bad_network_loses_no_promise() {
     let mut setting = copied("bad", 5, AFTER);
-    let bad = Rule { drop: 0.1, double: 0.3, delay_ms: (0, 40), reorder: 0.1, ..Rule::default() };
+    let bad = Rule { drop: 0.1, duplicate: 0.3, delay_ms: (0, 40), reorder: 0.1, ..Rule::default() };
     setting.plan.phases.push(phase("bad", vec![bad]));
     let mut rig = start(setting);
     rig.phase("bad");
--- a/agent/tests/fleet.rs
+++ b/agent/tests/fleet.rs
@@ -29,7 +29,7 @@
 fn with_late(name: &str, size: usize, late: usize) -> Rig {
     let mut setting = setting(name, size, 3);
     let to = names([late]);
-    let slow = Rule { to: to.clone(), delay_ms: (1_500, 1_500), double: 0.5, ..Rule::default() };
+    let slow = Rule { to: to.clone(), delay_ms: (1_500, 1_500), duplicate: 0.5, ..Rule::default() };
     setting.plan.phases.push(phase("late", vec![slow]));
     setting.plan.phases.push(phase("cut", vec![Rule::cut(&to, &[], true)]));
     start(setting)
@@ -280,7 +280,7 @@
 #[test]
 fn loss_delay_and_doubling_all_the_while_lose_no_turn() {
     let mut setting = setting("bad-network", 5, 3);
-    let bad = Rule { drop: 0.1, double: 0.2, delay_ms: (0, 60), reorder: 0.1, ..Rule::default() };
+    let bad = Rule { drop: 0.1, duplicate: 0.2, delay_ms: (0, 60), reorder: 0.1, ..Rule::default() };
     setting.plan.phases.push(phase("bad", vec![bad]));
     let mut rig = start(setting);
     rig.phase("bad");
@@ -288,9 +288,9 @@
     rig.roll_on(seconds(110));
     let findings = good(&mut rig);
     assert_eq!(findings.left.len(), 2, "{findings:?}");
-    let record = steprelay_faults::mesh::tally(&rig.mesh.record());
+    let record = steprelay_faults::mesh::count_outcomes(&rig.mesh.decisions());
     assert!(
-        ["dropped", "doubled", "delayed", "reordered"].iter().all(|what| record[what] > 10),
+        ["dropped", "duplicated", "delayed", "reordered"].iter().all(|what| record[what] > 10),
         "{record:?}"
     );
 }
@@ -419,7 +419,7 @@
     let mut rig = Rig::start(setting("strangers", 1, 1));
     rig.settle();
     let told = |bytes: &[u8]| {
-        let mut stream = std::net::TcpStream::connect(rig.mesh.fronts()[0]).expect("a front");
+        let mut stream = std::net::TcpStream::connect(rig.mesh.proxy_addresses()[0]).expect("a front");
         stream.set_read_timeout(Some(seconds(5))).expect("settable");
         stream.write_all(bytes).expect("taken");
         let mut answer = Vec::new();
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -1,27 +1,28 @@
-//! Faults between two sockets: what happens to each message, decided by a plan and a seed.
+//! A fault-injecting proxy between sockets: a plan and a seed decide what happens to each message.
 //!
-//! [`relay`] carries it out; all else is pure: it does no I/O and reads no clock. A [`plan::Plan`] says which
-//! rules there are; [`frames::Frames`] cuts a stream into messages, whatever way its bytes come;
-//! [`decide::Decider`] says what becomes of a message. A decision depends on the seed, the connection's tag,
-//! the direction, the message's place and what it says, and on nothing else: not on time, nor on the order in
-//! which connections come. So two runs on the same traffic decide the same.
+//! [`relay`] and [`mesh`] apply the decisions to sockets; all other modules are pure: they do no I/O and
+//! read no clock. A [`plan::Plan`] contains the rules; [`frames::Frames`] splits a stream into messages,
+//! however its bytes arrive; [`decide::Decider`] decides what happens to a message. A decision depends on the
+//! seed, the link, the connection, the direction, the message's index and its content, and on nothing else:
+//! neither on time nor on the order in which connections are opened. Two runs with the same traffic decide
+//! the same.
 //!
 //! ```
-//! use steprelay_faults::decide::{Decider, Way};
+//! use steprelay_faults::decide::{Decider, Direction};
 //! use steprelay_faults::plan::{Action, Match, Plan, Rule};
 //!
 //! let matches = Match { index: Some(2), ..Match::default() };
 //! let drop_third = Rule { matches, ..Rule::new(Action::Drop) };
 //! let decider = Decider::new(Plan { seed: 7, rules: vec![drop_third], ..Plan::default() });
-//! let way = Way { link: 0, connection: 0, to_upstream: true };
-//! assert_eq!(decider.decide(way, 2, b"{}\n").action, Action::Drop);
-//! assert_eq!(decider.decide(way, 3, b"{}\n").action, Action::Pass);
+//! let direction = Direction { link: 0, connection: 0, to_upstream: true };
+//! assert_eq!(decider.decide(direction, 2, b"{}\n").action, Action::Drop);
+//! assert_eq!(decider.decide(direction, 3, b"{}\n").action, Action::Pass);
 //! ```
 
 mod datagrams;
 pub mod decide;
-pub mod facts;
 pub mod frames;
+pub mod matching;
 pub mod mesh;
 pub mod plan;
 pub mod relay;
--- a/faults/src/main.rs
+++ b/faults/src/main.rs
@@ -1,4 +1,4 @@
-//! `steprelay-faults`: relays between sockets as a plan says, and records what it decided.
+//! `steprelay-faults`: runs the fault-injecting proxy with a plan and records its decisions.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -57,20 +57,20 @@
     Io(#[from] std::io::Error),
 }
 
-fn load(path: &Path) -> Result<Plan, Error> {
+fn load_plan(path: &Path) -> Result<Plan, Error> {
     let text = std::fs::read_to_string(path).map_err(|error| Error::File { path: path.into(), error })?;
     serde_json::from_str(&text).map_err(|error| Error::Plan { path: path.into(), error })
 }
 
 fn main() -> ExitCode {
     let command: Command = argh::from_env();
-    let done = match command.command {
-        SubCommand::Check(check) => load(&check.plan).map(|plan| {
+    let result = match command.command {
+        SubCommand::Check(check) => load_plan(&check.plan).map(|plan| {
             println!("seed {}, {} links, {} rules", plan.seed, plan.links.len(), plan.rules.len());
         }),
         SubCommand::Run(run) => run.run(),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("steprelay-faults: {error}");
@@ -81,7 +81,7 @@
 
 impl Run {
     fn run(self) -> Result<(), Error> {
-        let mut plan = load(&self.plan)?;
+        let mut plan = load_plan(&self.plan)?;
         plan.seed = self.seed.unwrap_or(plan.seed);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let local = tokio::task::LocalSet::new();
@@ -99,7 +99,7 @@
             }
             if let Some(path) = self.record {
                 let mut lines = Vec::new();
-                for decision in relay.record() {
+                for decision in relay.decisions() {
                     serde_json::to_writer(&mut lines, &decision).map_err(std::io::Error::from)?;
                     lines.write_all(b"\n")?;
                 }
--- a/faults/src/mesh.rs
+++ b/faults/src/mesh.rs
@@ -1,10 +1,10 @@
-//! Links among many: every member has a front of its own, for connections and for datagrams, and what passes
-//! between any two is decided by a plan with phases. Who speaks is told by the address that it comes from, so
-//! each member has one of its own.
+//! A mesh of links between many members. Each member has a proxy in front of it, for connections and for
+//! datagrams, and a plan with phases decides what passes between any two members. The source address
+//! identifies the sender, so each member has an address of its own.
 //!
 //! [`Plan::decide`] is pure: a decision depends on the seed, the phase, the two members, the connection and
-//! the place of the message, and on nothing else. [`Mesh`] carries it out on sockets, on a thread of its
-//! own, and records it.
+//! the message's index, and on nothing else. [`Mesh`] applies the decisions to sockets, on a thread of its
+//! own, and records them.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -26,20 +26,20 @@
 use crate::frames::Frames;
 use crate::plan::Framing;
 
-/// More decisions than this are not recorded: a record is for a test, not for a service.
-const MOST_RECORDED: usize = 1_000_000;
-/// Messages under way on one way of one connection.
-const UNDER_WAY: usize = 4_096;
+/// Bound on recorded decisions: the record serves tests, not long-running services.
+const MAX_RECORDED_DECISIONS: usize = 1_000_000;
+/// Bound on the messages in flight in one direction of a connection.
+const MAX_IN_FLIGHT_MESSAGES: usize = 4_096;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     pub seed: u64,
-    /// The first one is in force at the start.
+    /// The first phase is active at the start.
     pub phases: Vec<Phase>,
 }
 
-/// What holds for a while. All rules that fit a message apply.
+/// Rules that are active for some time. All rules that match a message apply.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
@@ -48,54 +48,57 @@
     pub rules: Vec<Rule>,
 }
 
-/// What becomes of messages from some members to others; no names at all means any. Shares are from 0 to 1.
+/// The faults of messages from some members to others; empty lists match all members. Probabilities are
+/// from 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rule {
     pub from: Vec<String>,
     pub to: Vec<String>,
-    /// The other direction too.
+    /// Applies to the opposite direction as well.
     pub both: bool,
-    /// Nothing passes; connections stay open and say nothing.
+    /// Nothing passes; connections stay open but silent.
     pub cut: bool,
     pub drop: f64,
-    pub double: f64,
-    /// It waits so many milliseconds, drawn between the two; those behind it keep their order.
+    #[serde(rename = "double")]
+    pub duplicate: f64,
+    /// Range of the delay in milliseconds; later messages keep their order behind the delayed one.
     pub delay_ms: (u32, u32),
-    /// It lets those behind it pass.
+    /// Later messages may overtake the message.
     pub reorder: f64,
 }
 
 impl Rule {
-    /// Nothing passes between these and those.
+    /// A rule that drops everything between these members.
     pub fn cut(from: &[String], to: &[String], both: bool) -> Self {
         Rule { from: from.to_vec(), to: to.to_vec(), both, cut: true, ..Rule::default() }
     }
 
-    fn fits(&self, from: &str, to: &str) -> bool {
-        let names =
+    fn matches(&self, from: &str, to: &str) -> bool {
+        let matches_any =
             |names: &[String], name: &str| names.is_empty() || names.iter().any(|known| known == name);
-        names(&self.from, from) && names(&self.to, to)
-            || self.both && names(&self.from, to) && names(&self.to, from)
+        matches_any(&self.from, from) && matches_any(&self.to, to)
+            || self.both && matches_any(&self.from, to) && matches_any(&self.to, from)
     }
 }
 
-/// A message between two members, on one connection.
+/// Identifies a message between two members on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place<'a> {
+pub struct MessageId<'a> {
     pub from: &'a str,
     pub to: &'a str,
     pub connection: u64,
     pub index: u64,
 }
 
-/// What becomes of it.
+/// What happens to the message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fate {
+pub struct Outcome {
     pub copies: u8,
     pub delay_ms: u32,
-    /// It goes behind those that come later.
-    pub behind: bool,
+    /// The message is sent behind later ones.
+    #[serde(rename = "behind")]
+    pub is_reordered: bool,
 }
 
 /// A decision, as it is recorded.
@@ -106,73 +109,77 @@
     pub to: String,
     pub connection: u64,
     pub index: u64,
-    pub fate: Fate,
+    #[serde(rename = "fate")]
+    pub outcome: Outcome,
 }
 
 impl Plan {
-    /// What becomes of a message in a phase.
-    pub fn decide(&self, phase: usize, place: Place) -> Fate {
-        let mut fate = Fate { copies: 1, ..Fate::default() };
-        let Some(rules) = self.phases.get(phase).map(|phase| &phase.rules) else { return fate };
-        for (number, rule) in rules.iter().enumerate().filter(|(_, rule)| rule.fits(place.from, place.to)) {
-            let draw = |salt: u64| self.draw(place, phase as u64, number as u64 * 8 + salt);
+    /// Decides what happens to a message in a phase.
+    pub fn decide(&self, phase: usize, message: MessageId) -> Outcome {
+        let mut outcome = Outcome { copies: 1, ..Outcome::default() };
+        let Some(rules) = self.phases.get(phase).map(|phase| &phase.rules) else { return outcome };
+        for (number, rule) in
+            rules.iter().enumerate().filter(|(_, rule)| rule.matches(message.from, message.to))
+        {
+            let draw = |salt: u64| self.draw(message, phase as u64, number as u64 * 8 + salt);
             if rule.cut || draw(0) < rule.drop {
-                return Fate::default();
+                return Outcome::default();
             }
-            fate.copies += u8::from(draw(1) < rule.double);
-            let (least, most) = rule.delay_ms;
-            fate.delay_ms += least + (draw(2) * f64::from(most.saturating_sub(least))) as u32;
-            fate.behind |= draw(3) < rule.reorder;
+            outcome.copies += u8::from(draw(1) < rule.duplicate);
+            let (min, max) = rule.delay_ms;
+            outcome.delay_ms += min + (draw(2) * f64::from(max.saturating_sub(min))) as u32;
+            outcome.is_reordered |= draw(3) < rule.reorder;
         }
-        fate
+        outcome
     }
 
-    /// A number from 0 to 1 that belongs to this message.
-    fn draw(&self, place: Place, phase: u64, salt: u64) -> f64 {
-        let name = |name: &str| name.bytes().fold(0, |drawn, byte| mix(drawn ^ u64::from(byte)));
-        let parts = [name(place.from), name(place.to), place.connection, place.index, phase, salt];
-        let drawn = parts.into_iter().fold(mix(self.seed), |drawn, part| mix(drawn ^ mix(part)));
-        (drawn >> 11) as f64 / (1u64 << 53) as f64
+    /// A pseudorandom number in [0, 1) that belongs to this message.
+    fn draw(&self, message: MessageId, phase: u64, salt: u64) -> f64 {
+        let name_hash = |name: &str| name.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
+        let parts =
+            [name_hash(message.from), name_hash(message.to), message.connection, message.index, phase, salt];
+        let hash = parts.into_iter().fold(mix(self.seed), |hash, part| mix(hash ^ mix(part)));
+        (hash >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-/// A member behind its front.
+/// A member behind its proxy.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub name: String,
-    /// Where it listens, and where its own connections come from.
+    /// The address that the member listens on, and whose IP address its own connections come from.
     pub address: SocketAddr,
 }
 
-pub(crate) struct Inner {
+pub(crate) struct MeshState {
     plan: Plan,
     pub(crate) members: Vec<Member>,
     phase: AtomicUsize,
     pub(crate) connections: AtomicU64,
-    record: Mutex<Vec<Decision>>,
-    passed: AtomicU64,
+    decisions: Mutex<Vec<Decision>>,
+    forwarded: AtomicU64,
     octets: AtomicU64,
 }
 
-/// Fronts of all members, running.
+/// The running proxies of all members.
 pub struct Mesh {
-    inner: Arc<Inner>,
-    fronts: Vec<SocketAddr>,
-    datagram_fronts: Vec<SocketAddr>,
+    state: Arc<MeshState>,
+    proxy_addresses: Vec<SocketAddr>,
+    datagram_proxy_addresses: Vec<SocketAddr>,
     _stop: watch::Sender<()>,
 }
 
 impl Mesh {
-    /// Opens a front for each member on loopback, and relays from then on.
+    /// Starts a proxy for each member on loopback, and forwards from then on.
     ///
     /// # Errors
-    /// An address is no loopback address, or can't be listened on.
+    /// An address is no loopback address, or cannot be listened on.
     pub fn start(plan: Plan, members: Vec<Member>) -> io::Result<Self> {
         let (mut listeners, mut sockets) = (Vec::new(), Vec::new());
         for member in &members {
             if !member.address.ip().is_loopback() {
-                let told = format!("{}: faults stay on loopback addresses", member.name);
-                return Err(io::Error::new(io::ErrorKind::InvalidInput, told));
+                let reason = format!("{}: fault injection is limited to loopback addresses", member.name);
+                return Err(io::Error::new(io::ErrorKind::InvalidInput, reason));
             }
             let listener = StdListener::bind("127.0.0.1:0")?;
             listener.set_nonblocking(true)?;
@@ -181,19 +188,20 @@
             socket.set_nonblocking(true)?;
             sockets.push(socket);
         }
-        let fronts = listeners.iter().map(StdListener::local_addr).collect::<io::Result<_>>()?;
-        let datagram_fronts = sockets.iter().map(StdUdpSocket::local_addr).collect::<io::Result<_>>()?;
-        let inner = Arc::new(Inner {
+        let proxy_addresses = listeners.iter().map(StdListener::local_addr).collect::<io::Result<_>>()?;
+        let datagram_proxy_addresses =
+            sockets.iter().map(StdUdpSocket::local_addr).collect::<io::Result<_>>()?;
+        let state = Arc::new(MeshState {
             plan,
             members,
             phase: AtomicUsize::new(0),
             connections: AtomicU64::new(0),
-            record: Mutex::default(),
-            passed: AtomicU64::new(0),
+            decisions: Mutex::default(),
+            forwarded: AtomicU64::new(0),
             octets: AtomicU64::new(0),
         });
         let (stop, mut stopped) = watch::channel(());
-        let shared = inner.clone();
+        let shared = state.clone();
         std::thread::spawn(move || {
             let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
                 return;
@@ -209,41 +217,42 @@
                         spawn_local(datagrams::relay(shared.clone(), to, socket));
                     }
                 }
-                // Ends with its sender.
+                // Ends when the sender is dropped.
                 while stopped.changed().await.is_ok() {}
             });
         });
-        Ok(Mesh { inner, fronts, datagram_fronts, _stop: stop })
+        Ok(Mesh { state, proxy_addresses, datagram_proxy_addresses, _stop: stop })
     }
 
-    /// Where others reach each member, in the order in which they were named.
-    pub fn fronts(&self) -> &[SocketAddr] {
-        &self.fronts
+    /// The addresses at which other members reach each member, in the order of the members.
+    pub fn proxy_addresses(&self) -> &[SocketAddr] {
+        &self.proxy_addresses
     }
 
-    /// The same for datagrams.
-    pub fn datagram_fronts(&self) -> &[SocketAddr] {
-        &self.datagram_fronts
+    /// The addresses for datagrams, in the order of the members.
+    pub fn datagram_proxy_addresses(&self) -> &[SocketAddr] {
+        &self.datagram_proxy_addresses
     }
 
-    /// Has a phase in force from now on; `false` where the plan has none of that name.
-    pub fn enter(&self, name: &str) -> bool {
-        let place = self.inner.plan.phases.iter().position(|phase| phase.name == name);
-        if let Some(place) = place {
-            self.inner.phase.store(place, Ordering::Relaxed);
+    /// Activates a phase; `false` if the plan has no phase of that name.
+    pub fn enter_phase(&self, name: &str) -> bool {
+        let phase = self.state.plan.phases.iter().position(|phase| phase.name == name);
+        if let Some(phase) = phase {
+            self.state.phase.store(phase, Ordering::Relaxed);
         }
-        place.is_some()
+        phase.is_some()
     }
 
-    /// Messages and octets that were passed on.
-    pub fn passed(&self) -> (u64, u64) {
-        (self.inner.passed.load(Ordering::Relaxed), self.inner.octets.load(Ordering::Relaxed))
+    /// The number of messages and of octets that were forwarded.
+    pub fn forwarded(&self) -> (u64, u64) {
+        (self.state.forwarded.load(Ordering::Relaxed), self.state.octets.load(Ordering::Relaxed))
     }
 
-    /// What was decided otherwise than to pass it on, by members and place.
-    pub fn record(&self) -> Vec<Decision> {
-        let mut record = self.inner.record.lock().map(|record| record.clone()).unwrap_or_default();
-        record.sort_by(|one, other| {
+    /// The decisions that altered, delayed or dropped a message, sorted by members, connection and index.
+    pub fn decisions(&self) -> Vec<Decision> {
+        let mut decisions =
+            self.state.decisions.lock().map(|decisions| decisions.clone()).unwrap_or_default();
+        decisions.sort_by(|one, other| {
             (&one.from, &one.to, one.connection, one.index).cmp(&(
                 &other.from,
                 &other.to,
@@ -251,88 +260,89 @@
                 other.index,
             ))
         });
-        record
+        decisions
     }
 }
 
-async fn accept(inner: Arc<Inner>, to: usize, listener: TcpListener) {
-    while let Ok((near, peer)) = listener.accept().await {
-        let from = inner.name_of(peer.ip());
-        spawn_local(serve(inner.clone(), from, to, near));
+async fn accept(state: Arc<MeshState>, to: usize, listener: TcpListener) {
+    while let Ok((client, peer)) = listener.accept().await {
+        let from = state.member_name(peer.ip());
+        spawn_local(proxy(state.clone(), from, to, client));
     }
 }
 
-async fn serve(inner: Arc<Inner>, from: String, to: usize, near: TcpStream) {
-    let connection = inner.connections.fetch_add(1, Ordering::Relaxed);
-    let Ok(far) = TcpStream::connect(inner.members[to].address).await else {
-        // A dial that is refused is passed on as a reset.
-        let _ = near.set_zero_linger();
+async fn proxy(state: Arc<MeshState>, from: String, to: usize, client: TcpStream) {
+    let connection = state.connections.fetch_add(1, Ordering::Relaxed);
+    let Ok(upstream) = TcpStream::connect(state.members[to].address).await else {
+        // A refused connection is passed on as a reset.
+        let _ = client.set_zero_linger();
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
-    let to = inner.members[to].name.clone();
-    // Each way ends when its reader does, and has the other side's end follow.
+    let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+    let ((client_read, client_write), (upstream_read, upstream_write)) =
+        (client.into_split(), upstream.into_split());
+    let to = state.members[to].name.clone();
+    // Each direction ends with its reader and then closes the other side's stream.
     tokio::join!(
-        carry(&inner, from.clone(), to.clone(), connection, near_read, far_write),
-        carry(&inner, to, from, connection, far_read, near_write),
+        carry(&state, from.clone(), to.clone(), connection, client_read, upstream_write),
+        carry(&state, to, from, connection, upstream_read, client_write),
     );
 }
 
-/// Carries one way to its end. Reading never waits for a delay.
+/// Forwards one direction until it ends. Reads never wait for delayed messages.
 async fn carry(
-    inner: &Inner,
+    state: &MeshState,
     from: String,
     to: String,
     connection: u64,
     mut read: OwnedReadHalf,
     write: OwnedWriteHalf,
 ) {
-    let (under_way, out) = mpsc::channel(UNDER_WAY);
-    let writing = write_on(write, out);
-    // Ends with its reader; what is under way by then is still written.
-    let reading = async move {
-        let mut frames = Frames::new(Framing::Board);
+    let (queue, out) = mpsc::channel(MAX_IN_FLIGHT_MESSAGES);
+    let writer = write_messages(write, out);
+    // Ends with its stream; messages that are already queued are still written.
+    let reader = async move {
+        let mut frames = Frames::new(Framing::LengthPrefixed);
         let (mut bytes, mut index) = ([0; 16 * 1024], 0);
         let mut last = Instant::now();
-        let mut behind: Vec<Vec<u8>> = Vec::new();
+        let mut held_back: Vec<Vec<u8>> = Vec::new();
         loop {
             let count = read.read(&mut bytes).await.unwrap_or(0);
             if count == 0 {
                 return;
             }
             frames.push(&bytes[..count]);
-            while let Some(message) = frames.take() {
-                let fate = inner.decide(Place { from: &from, to: &to, connection, index });
+            while let Some(message) = frames.next_message() {
+                let outcome = state.decide(MessageId { from: &from, to: &to, connection, index });
                 index += 1;
-                let at = (Instant::now() + Duration::from_millis(fate.delay_ms.into())).max(last);
-                last = at;
-                if fate.behind && fate.copies > 0 {
-                    behind.push(message);
+                let due = (Instant::now() + Duration::from_millis(outcome.delay_ms.into())).max(last);
+                last = due;
+                if outcome.is_reordered && outcome.copies > 0 {
+                    held_back.push(message);
                     continue;
                 }
-                for _ in 0..fate.copies {
-                    inner.passed(message.len());
-                    if under_way.send((at, message.clone())).await.is_err() {
+                for _ in 0..outcome.copies {
+                    state.count_forwarded(message.len());
+                    if queue.send((due, message.clone())).await.is_err() {
                         return;
                     }
                 }
-                for message in behind.drain(..) {
-                    if under_way.send((at, message)).await.is_err() {
+                for message in held_back.drain(..) {
+                    if queue.send((due, message)).await.is_err() {
                         return;
                     }
                 }
             }
         }
     };
-    tokio::join!(reading, writing);
+    tokio::join!(reader, writer);
 }
 
-async fn write_on(mut write: OwnedWriteHalf, mut out: mpsc::Receiver<(Instant, Vec<u8>)>) {
-    while let Some((at, message)) = out.recv().await {
-        // Timers are of whole milliseconds, also those that are due.
-        if at > Instant::now() {
-            sleep_until(at).await;
+async fn write_messages(mut write: OwnedWriteHalf, mut out: mpsc::Receiver<(Instant, Vec<u8>)>) {
+    while let Some((due, message)) = out.recv().await {
+        // Timers have a resolution of whole milliseconds and would delay even messages that are due.
+        if due > Instant::now() {
+            sleep_until(due).await;
         }
         if write.write_all(&message).await.is_err() {
             return;
@@ -341,66 +351,67 @@
     let _ = write.shutdown().await;
 }
 
-impl Inner {
-    /// Strangers are no matter of a plan: they are let pass as such.
-    pub(crate) fn name_of(&self, ip: IpAddr) -> String {
+impl MeshState {
+    /// The name of the member with this address. Any other address gets the name `stranger`, which plans do
+    /// not list.
+    pub(crate) fn member_name(&self, ip: IpAddr) -> String {
         let known = self.members.iter().find(|member| member.address.ip() == ip);
         known.map_or_else(|| "stranger".to_string(), |member| member.name.clone())
     }
 
-    /// What becomes of a message now; it is recorded.
-    pub(crate) fn decide(&self, place: Place) -> Fate {
+    /// Decides what happens to a message in the active phase, and records the decision.
+    pub(crate) fn decide(&self, message: MessageId) -> Outcome {
         let phase = self.phase.load(Ordering::Relaxed);
-        let fate = self.plan.decide(phase, place);
-        self.note(phase, place, fate);
-        fate
+        let outcome = self.plan.decide(phase, message);
+        self.record(phase, message, outcome);
+        outcome
     }
 
-    pub(crate) fn passed(&self, octets: usize) {
-        self.passed.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn count_forwarded(&self, octets: usize) {
+        self.forwarded.fetch_add(1, Ordering::Relaxed);
         self.octets.fetch_add(octets as u64, Ordering::Relaxed);
     }
 
-    fn note(&self, phase: usize, place: Place, fate: Fate) {
-        if fate == (Fate { copies: 1, ..Fate::default() }) {
+    fn record(&self, phase: usize, message: MessageId, outcome: Outcome) {
+        if outcome == (Outcome { copies: 1, ..Outcome::default() }) {
             return;
         }
-        let Ok(mut record) = self.record.lock() else { return };
-        if record.len() < MOST_RECORDED {
-            record.push(Decision {
+        let Ok(mut decisions) = self.decisions.lock() else { return };
+        if decisions.len() < MAX_RECORDED_DECISIONS {
+            decisions.push(Decision {
                 phase,
-                from: place.from.into(),
-                to: place.to.into(),
-                connection: place.connection,
-                index: place.index,
-                fate,
+                from: message.from.into(),
+                to: message.to.into(),
+                connection: message.connection,
+                index: message.index,
+                outcome,
             });
         }
     }
 }
 
-/// Groups of members that hear only each other, as rules: the fewest that cut all others apart.
+/// The smallest set of rules that separates these groups of members from one another.
 pub fn partition(groups: &[Vec<String>]) -> Vec<Rule> {
     let mut rules = Vec::new();
-    for (place, one) in groups.iter().enumerate() {
-        for other in &groups[place + 1..] {
+    for (index, one) in groups.iter().enumerate() {
+        for other in &groups[index + 1..] {
             rules.push(Rule::cut(one, other, true));
         }
     }
     rules
 }
 
-/// How often each fate was decided in a record.
-pub fn tally(record: &[Decision]) -> BTreeMap<&'static str, usize> {
-    let mut tally = BTreeMap::new();
-    for Decision { fate, .. } in record {
-        let what = match fate {
-            Fate { copies: 0, .. } => "dropped",
-            Fate { copies: 2.., .. } => "doubled",
-            Fate { behind: true, .. } => "reordered",
+/// Counts the recorded decisions by their outcome.
+pub fn count_outcomes(decisions: &[Decision]) -> BTreeMap<&'static str, usize> {
+    let mut counts = BTreeMap::new();
+    for Decision { outcome, .. } in decisions {
+        let kind = match outcome {
+            Outcome { copies: 0, .. } => "dropped",
+            Outcome { copies: 2.., .. } => "duplicated",
+            Outcome { is_reordered: true, .. } => "reordered",
             _ => "delayed",
         };
-        *tally.entry(what).or_insert(0) += 1;
+        *counts.entry(kind).or_insert(0) += 1;
     }
-    tally
+    counts
 }
--- a/faults/src/plan.rs
+++ b/faults/src/plan.rs
@@ -1,4 +1,4 @@
-//! A plan: pure data, made before anything runs.
+//! The fault plan: data that is complete before anything runs.
 
 use std::net::SocketAddr;
 
@@ -10,12 +10,12 @@
     pub seed: u64,
     #[serde(default)]
     pub links: Vec<Link>,
-    /// Each message is decided by the first rule that fits it.
+    /// The first rule that matches a message decides.
     #[serde(default)]
     pub rules: Vec<Rule>,
 }
 
-/// A listener and where its connections go.
+/// A listener and the address that its connections are forwarded to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
@@ -25,34 +25,35 @@
     pub framing: Framing,
 }
 
-/// How messages are told apart on a link.
+/// How messages are delimited on a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Framing {
-    /// They are not: whatever comes at once is one.
+    /// Not at all: the bytes of one read form a message.
     #[default]
     Raw,
-    /// The platform's JSON lines.
+    /// JSON lines.
     Lines,
-    /// M3UA's lengths (RFC 4666 3.1.4).
+    /// By the length in the M3UA header (RFC 4666 3.1.4).
     M3ua,
-    /// The notice board's: a length of 4 octets that counts all behind it.
-    Board,
+    /// As in service discovery: by a length of 4 octets that counts all octets behind it.
+    #[serde(rename = "board")]
+    LengthPrefixed,
 }
 
-/// What becomes of messages that fit.
+/// The action for messages that match.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     pub action: Action,
     #[serde(default)]
     pub matches: Match,
-    /// In how many of the cases, 0 to 1.
-    #[serde(default = "always")]
+    /// The probability of the action, 0 to 1.
+    #[serde(default = "one")]
     pub probability: f64,
 }
 
-fn always() -> f64 {
+fn one() -> f64 {
     1.0
 }
 
@@ -62,53 +63,54 @@
     }
 }
 
-/// What a message has to be; whatever is left out may be anything.
+/// The conditions on a message; fields that are absent match anything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Match {
-    /// The link, by its name, and its connection, by its number from 0.
+    /// The link's name, and the connection's number on it, from 0.
     pub link: Option<String>,
     pub connection: Option<u64>,
     pub to_upstream: Option<bool>,
-    /// The place of the message on its connection and way, from 0; or the first of those that fit, and the
-    /// one behind the last.
+    /// The index of the message in its direction of the connection, from 0; or the first index that
+    /// matches, and the one behind the last.
     pub index: Option<u64>,
     pub from: Option<u64>,
     pub until: Option<u64>,
-    /// Of a JSON line: its type, id, class and cause.
+    /// Fields of a JSON line: type, ID, class and cause.
     pub op: Option<String>,
     pub call: Option<String>,
     pub class: Option<String>,
     pub cause: Option<u8>,
-    /// Of M3UA: message class and type; of ISUP inside: type and circuit.
+    /// M3UA message class and type; message type and circuit of the ISUP message inside.
     pub m3ua: Option<(u8, u8)>,
     pub isup: Option<u8>,
     pub circuit: Option<u16>,
 }
 
-/// What becomes of one message, or of its connection.
+/// What happens to a message or to its connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
     #[default]
     Pass,
     Drop,
-    /// It comes so many times in all.
+    /// The message is sent so many times in all.
     Repeat(u8),
-    /// So many of its octets are changed; its frame stays whole, and so do those that follow.
-    Garble(u16),
-    /// Its body is cut to so many octets, and its frame with it.
+    /// So many octets are corrupted; the message's frame and the messages behind it stay intact.
+    #[serde(rename = "garble")]
+    Corrupt(u16),
+    /// The body is truncated to so many octets, and the frame is adjusted.
     Truncate(usize),
-    /// This comes in its place.
+    /// These octets are sent in place of the message.
     Replace(Vec<u8>),
-    /// It waits so many milliseconds, and those behind it too.
+    /// The message, and those behind it, wait for so many milliseconds.
     Delay(u32),
-    /// It changes places with the next one.
+    /// The message is sent behind the next one.
     Swap,
-    /// Its connection is reset; both ways are.
+    /// The connection is reset in both directions.
     Reset,
-    /// No more is passed on its way: it is closed in order.
+    /// Nothing more is forwarded in this direction, which is closed in an orderly way.
     HalfClose,
-    /// No more is passed on its way, and nobody is told.
+    /// Nothing more is forwarded in this direction, which stays open.
     Silence,
 }
--- a/faults/src/relay.rs
+++ b/faults/src/relay.rs
@@ -1,7 +1,7 @@
-//! The relay: listeners, the connections that they bring, and the two ways of each.
+//! The proxy: listeners, their connections, and the two directions of each connection.
 //!
-//! A way reads, decides and writes in turn, so that a slow reader slows its peer and no more than one read
-//! and one message is held for it.
+//! A direction reads, decides and writes in turn. A slow reader therefore slows its peer, and at most one
+//! read and one message are buffered for it.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -15,14 +15,14 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-use crate::decide::{Decider, Decision, Way};
+use crate::decide::{Decider, Decision, Direction};
 use crate::frames::Frames;
 use crate::plan::{Action, Plan};
 
-/// More decisions than this are not recorded: a record is for a test, not for a service.
-const MOST_RECORDED: usize = 1_000_000;
+/// Bound on recorded decisions: the record serves tests, not long-running services.
+const MAX_RECORDED_DECISIONS: usize = 1_000_000;
 
-/// What was decided so far, and the connections there were.
+/// A running proxy with the decisions made so far.
 #[derive(Clone)]
 pub struct Relay {
     decider: Rc<Decider>,
@@ -31,16 +31,18 @@
 }
 
 impl Relay {
-    /// Listens as the plan says and relays from then on, on the present local set.
+    /// Listens on the links of the plan and forwards connections from then on, on the current local task
+    /// set.
     ///
     /// # Errors
-    /// An address can't be listened on, or is no loopback address.
+    /// An address is no loopback address, or cannot be listened on.
     pub fn start(plan: Plan) -> io::Result<Self> {
         let mut listeners = Vec::new();
         for link in &plan.links {
             if !link.listen.ip().is_loopback() || !link.upstream.ip().is_loopback() {
-                let told = format!("link '{}': faults stay on loopback addresses", link.name);
-                return Err(io::Error::new(io::ErrorKind::InvalidInput, told));
+                let reason =
+                    format!("link '{}': fault injection is limited to loopback addresses", link.name);
+                return Err(io::Error::new(io::ErrorKind::InvalidInput, reason));
             }
             let listener = StdListener::bind(link.listen)?;
             listener.set_nonblocking(true)?;
@@ -55,39 +57,40 @@
         Ok(relay)
     }
 
-    /// Where each link listens.
+    /// The listening address of each link.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// All decisions, by connection and place: their order in time does not show.
-    pub fn record(&self) -> Vec<Decision> {
+    /// All decisions, sorted by connection and message index, so that their order in time does not show.
+    pub fn decisions(&self) -> Vec<Decision> {
         let mut decisions = self.decisions.borrow().clone();
-        decisions.sort_by_key(|decision| (decision.way, decision.index));
+        decisions.sort_by_key(|decision| (decision.direction, decision.index));
         decisions
     }
 
     async fn accept(self, link: usize, listener: TcpListener, upstream: SocketAddr) {
         for connection in 0.. {
-            let Ok((near, _)) = listener.accept().await else { return };
-            spawn_local(self.clone().serve(link, connection, near, upstream));
+            let Ok((client, _)) = listener.accept().await else { return };
+            spawn_local(self.clone().proxy(link, connection, client, upstream));
         }
     }
 
-    async fn serve(self, link: usize, connection: u64, near: TcpStream, upstream: SocketAddr) {
-        // A dial that is refused is passed on as a reset of the near side.
-        let Ok(far) = TcpStream::connect(upstream).await else { return abort(near) };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
-        let way = |to_upstream| Way { link, connection, to_upstream };
-        let reset = Reset::default();
-        let ((near_read, far_write), (far_read, near_write)) = tokio::join!(
-            self.carry(way(true), near_read, far_write, &reset),
-            self.carry(way(false), far_read, near_write, &reset),
+    async fn proxy(self, link: usize, connection: u64, client: TcpStream, upstream: SocketAddr) {
+        // A refused upstream connection is passed on as a reset of the client's connection.
+        let Ok(upstream_stream) = TcpStream::connect(upstream).await else { return abort(client) };
+        let _ = (client.set_nodelay(true), upstream_stream.set_nodelay(true));
+        let ((client_read, client_write), (upstream_read, upstream_write)) =
+            (client.into_split(), upstream_stream.into_split());
+        let direction = |to_upstream| Direction { link, connection, to_upstream };
+        let reset = ResetSignal::default();
+        let ((client_read, upstream_write), (upstream_read, client_write)) = tokio::join!(
+            self.carry(direction(true), client_read, upstream_write, &reset),
+            self.carry(direction(false), upstream_read, client_write, &reset),
         );
-        if reset.told.get() {
-            // Both halves of each side are needed to end it abruptly.
-            for (read, write) in [(near_read, near_write), (far_read, far_write)] {
+        if reset.is_set.get() {
+            // A reset needs both halves of each stream.
+            for (read, write) in [(client_read, client_write), (upstream_read, upstream_write)] {
                 if let Ok(stream) = read.reunite(write) {
                     abort(stream);
                 }
@@ -95,47 +98,53 @@
         }
     }
 
-    /// Carries one way to its end, or to a reset of either; gives back what it had.
+    /// Forwards one direction until it ends or the connection is reset; returns both halves.
     async fn carry(
         &self,
-        way: Way,
+        direction: Direction,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
-        reset: &Reset,
+        reset: &ResetSignal,
     ) -> (OwnedReadHalf, OwnedWriteHalf) {
         tokio::select! {
-            () = self.pass(way, &mut from, &mut to, reset) => {}
+            () = self.forward(direction, &mut from, &mut to, reset) => {}
             () = reset.wait() => {}
         }
         (from, to)
     }
 
-    async fn pass(&self, way: Way, from: &mut OwnedReadHalf, to: &mut OwnedWriteHalf, reset: &Reset) {
-        let mut frames = Frames::new(self.decider.framing(way.link));
-        let (mut index, mut swapped, mut passing) = (0, None, true);
+    async fn forward(
+        &self,
+        direction: Direction,
+        from: &mut OwnedReadHalf,
+        to: &mut OwnedWriteHalf,
+        reset: &ResetSignal,
+    ) {
+        let mut frames = Frames::new(self.decider.framing(direction.link));
+        let (mut index, mut swapped, mut is_forwarding) = (0, None, true);
         let mut bytes = [0; 16 * 1024];
         loop {
             let read = from.read(&mut bytes).await.unwrap_or_default();
-            let ended = read == 0;
+            let is_at_end = read == 0;
             frames.push(&bytes[..read]);
-            while let Some(message) = next(&mut frames, ended) {
-                if !passing {
+            while let Some(message) = next_message(&mut frames, is_at_end) {
+                if !is_forwarding {
                     continue;
                 }
-                let decision = self.decider.decide(way, index, &message);
+                let decision = self.decider.decide(direction, index, &message);
                 index += 1;
-                self.note(&decision);
+                self.record(&decision);
                 match decision.action {
                     Action::Delay(ms) => tokio::time::sleep(Duration::from_millis(ms.into())).await,
-                    Action::Reset => return reset.tell(),
+                    Action::Reset => return reset.set(),
                     Action::HalfClose => {
-                        passing = false;
+                        is_forwarding = false;
                         let _ = to.shutdown().await;
                     }
-                    Action::Silence => passing = false,
+                    Action::Silence => is_forwarding = false,
                     _ => {}
                 }
-                let mut out = self.decider.carry_out(&decision, message);
+                let mut out = self.decider.apply(&decision, message);
                 if decision.action == Action::Swap && swapped.is_none() {
                     swapped = out.pop();
                     continue;
@@ -147,11 +156,11 @@
                     }
                 }
             }
-            if ended {
+            if is_at_end {
                 if let Some(message) = swapped.take() {
                     let _ = to.write_all(&message).await;
                 }
-                if passing {
+                if is_forwarding {
                     let _ = to.shutdown().await;
                 }
                 return;
@@ -159,44 +168,44 @@
         }
     }
 
-    fn note(&self, decision: &Decision) {
+    fn record(&self, decision: &Decision) {
         let mut decisions = self.decisions.borrow_mut();
-        if decisions.len() < MOST_RECORDED {
+        if decisions.len() < MAX_RECORDED_DECISIONS {
             decisions.push(decision.clone());
         }
     }
 }
 
-/// Tells both ways of a connection that it is reset.
+/// Tells both directions of a connection that it is reset.
 #[derive(Default)]
-struct Reset {
-    told: Cell<bool>,
-    waiting: Notify,
+struct ResetSignal {
+    is_set: Cell<bool>,
+    notify: Notify,
 }
 
-impl Reset {
-    fn tell(&self) {
-        self.told.set(true);
-        self.waiting.notify_waiters();
+impl ResetSignal {
+    fn set(&self) {
+        self.is_set.set(true);
+        self.notify.notify_waiters();
     }
 
     async fn wait(&self) {
-        let told = self.waiting.notified();
-        if !self.told.get() {
-            told.await;
+        let notified = self.notify.notified();
+        if !self.is_set.get() {
+            notified.await;
         }
     }
 }
 
-/// Ends a connection with a reset.
+/// Closes a connection with a reset.
 fn abort(stream: TcpStream) {
     let _ = stream.set_zero_linger();
 }
 
-/// The next message; at the end of the stream also what is no whole one.
-fn next(frames: &mut Frames, ended: bool) -> Option<Vec<u8>> {
-    match frames.take() {
-        None if ended => frames.rest(),
+/// The next message; at the end of the stream also an incomplete one.
+fn next_message(frames: &mut Frames, is_at_end: bool) -> Option<Vec<u8>> {
+    match frames.next_message() {
+        None if is_at_end => frames.take_remainder(),
         message => message,
     }
 }
--- a/faults/tests/relay.rs
+++ b/faults/tests/relay.rs
@@ -1,5 +1,5 @@
-//! The relay on loopback sockets: the same traffic with its timing shuffled gives the same record, and ends
-//! of connections come through as what they are.
+//! The proxy on loopback sockets: equal traffic with different timing gives equal decisions, and connection
+//! faults reach the peers.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,67 +9,69 @@
 use steprelay_faults::plan::{Action, Framing, Link, Match, Plan, Rule};
 use steprelay_faults::relay::Relay;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a relay with these rules while `peers` talk through it; returns what it decided.
-fn relayed(
+/// Runs a proxy with these rules while `peers` communicate through it, and returns its decisions.
+fn run_relay(
     rules: Vec<Rule>,
     seed: u64,
     peers: impl FnOnce(SocketAddr, TcpListener) + Send + 'static,
 ) -> Vec<Decision> {
-    let behind = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (listen, upstream) =
-        ("127.0.0.1:0".parse().expect("an address"), behind.local_addr().expect("bound"));
+    let upstream_listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (listen, upstream) = (
+        "127.0.0.1:0".parse().expect("an address"),
+        upstream_listener.local_addr().expect("a bound address"),
+    );
     let link = Link { name: "a".into(), listen, upstream, framing: Framing::Lines };
     let plan = Plan { seed, links: vec![link], rules };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let relay = Relay::start(plan).expect("it listens");
+        let relay = Relay::start(plan).expect("a listener");
         let address = relay.addresses()[0];
-        tokio::task::spawn_blocking(move || peers(address, behind)).await.expect("no panic");
-        relay.record()
+        tokio::task::spawn_blocking(move || peers(address, upstream_listener)).await.expect("no panic");
+        relay.decisions()
     })
 }
 
-fn connected(address: SocketAddr, behind: &TcpListener) -> (TcpStream, TcpStream) {
-    let near = TcpStream::connect(address).expect("it listens");
-    let far = behind.accept().expect("a connection").0;
-    for stream in [&near, &far] {
-        stream.set_read_timeout(Some(PATIENCE)).expect("settable");
-        stream.set_nodelay(true).expect("settable");
+fn connect(address: SocketAddr, upstream_listener: &TcpListener) -> (TcpStream, TcpStream) {
+    let client = TcpStream::connect(address).expect("a listener");
+    let server = upstream_listener.accept().expect("a connection").0;
+    for stream in [&client, &server] {
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a socket option");
+        stream.set_nodelay(true).expect("a socket option");
     }
-    (near, far)
+    (client, server)
 }
 
-fn rest(mut stream: TcpStream) -> std::io::Result<String> {
+fn read_to_end(mut stream: TcpStream) -> std::io::Result<String> {
     let mut text = String::new();
     stream.read_to_string(&mut text).map(|_| text)
 }
 
 #[test]
-fn the_same_seed_gives_the_same_record_whatever_the_timing() {
+fn equal_seeds_give_equal_decisions_at_any_timing() {
     let rules = || {
         let rule = |action, probability| Rule { probability, ..Rule::new(action) };
-        vec![rule(Action::Drop, 0.2), rule(Action::Repeat(2), 0.2), rule(Action::Garble(1), 0.2)]
+        vec![rule(Action::Drop, 0.2), rule(Action::Repeat(2), 0.2), rule(Action::Corrupt(1), 0.2)]
     };
-    // Four connections, opened one after the other, written to in pieces and an order that the run draws.
+    // Four connections, opened one after the other and written to in pieces, in a pseudorandom order.
     let run = |seed: u64, order: u64| {
-        relayed(rules(), seed, move |address, behind| {
-            let mut pairs: Vec<_> = (0..4).map(|_| connected(address, &behind)).collect();
+        run_relay(rules(), seed, move |address, upstream_listener| {
+            let mut pairs: Vec<_> = (0..4).map(|_| connect(address, &upstream_listener)).collect();
             let text: Vec<String> = (0..50).map(|line| format!("{{\"n\":{line}}}\n")).collect();
             let text = text.concat();
             let mut sent = [0; 4];
-            let mut drawn = order;
+            let mut random = order;
             while sent.iter().any(|sent| *sent < text.len()) {
-                drawn = drawn.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
-                let (pair, piece) = ((drawn >> 33) as usize % 4, 1 + (drawn >> 40) as usize % 23);
+                random = random.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
+                let (pair, piece) = ((random >> 33) as usize % 4, 1 + (random >> 40) as usize % 23);
                 let end = (sent[pair] + piece).min(text.len());
-                pairs[pair].0.write_all(&text.as_bytes()[sent[pair]..end]).expect("taken");
+                pairs[pair].0.write_all(&text.as_bytes()[sent[pair]..end]).expect("a successful write");
                 sent[pair] = end;
             }
-            for (near, far) in pairs.drain(..) {
-                near.shutdown(Shutdown::Write).expect("open");
-                rest(far).expect("it ends in order");
+            for (client, server) in pairs.drain(..) {
+                client.shutdown(Shutdown::Write).expect("an open connection");
+                read_to_end(server).expect("an orderly close");
             }
         })
     };
@@ -80,7 +82,7 @@
 }
 
 #[test]
-fn ends_and_silence_come_through_as_what_they_are() {
+fn connection_faults_reach_the_peer_unchanged() {
     let on = |op: &str, action| {
         let matches = Match { op: Some(op.into()), ..Match::default() };
         Rule { matches, ..Rule::new(action) }
@@ -91,42 +93,42 @@
         on("hush", Action::Silence),
         on("swap", Action::Swap),
     ];
-    relayed(rules, 1, |address, behind| {
-        // Two messages change places; the other way goes on.
-        let (mut near, mut far) = connected(address, &behind);
-        near.write_all(b"{\"op\":\"swap\"}\n{\"op\":\"b\"}\n").expect("taken");
-        let mut heard = [0; 25];
-        far.read_exact(&mut heard).expect("both come");
-        assert_eq!(&heard[..], b"{\"op\":\"b\"}\n{\"op\":\"swap\"}\n");
-        // One way is closed in order, the other goes on.
-        near.write_all(b"{\"op\":\"half\"}\n{\"op\":\"c\"}\n").expect("taken");
-        assert_eq!(far.read(&mut heard).expect("in order"), 0);
-        far.write_all(b"{\"op\":\"d\"}\n").expect("taken");
-        far.shutdown(Shutdown::Both).expect("open");
-        assert_eq!(rest(near).expect("in order"), "{\"op\":\"d\"}\n");
-        // Silence: what follows is swallowed, and the connection stays.
-        let (mut near, mut far) = connected(address, &behind);
-        near.write_all(b"{\"op\":\"hush\"}\n{\"op\":\"e\"}\n").expect("taken");
-        far.write_all(b"{\"op\":\"f\"}\n").expect("taken");
-        near.read_exact(&mut heard[..11]).expect("the other way goes on");
-        far.set_read_timeout(Some(Duration::from_millis(50))).expect("settable");
-        assert!(far.read(&mut heard).is_err(), "nothing, and no end");
-        // A reset comes as one.
-        let (mut near, far) = connected(address, &behind);
-        near.write_all(b"{\"op\":\"reset\"}\n").expect("taken");
-        let kind = |ended: std::io::Result<String>| ended.expect_err("no end in order").kind();
-        assert_eq!(kind(rest(far)), std::io::ErrorKind::ConnectionReset);
-        assert_eq!(kind(rest(near)), std::io::ErrorKind::ConnectionReset);
+    run_relay(rules, 1, |address, upstream_listener| {
+        // Two messages swap places; the reverse direction is unaffected.
+        let (mut client, mut server) = connect(address, &upstream_listener);
+        client.write_all(b"{\"op\":\"swap\"}\n{\"op\":\"b\"}\n").expect("a successful write");
+        let mut received = [0; 25];
+        server.read_exact(&mut received).expect("both messages");
+        assert_eq!(&received[..], b"{\"op\":\"b\"}\n{\"op\":\"swap\"}\n");
+        // One direction is closed in an orderly way; the other one stays open.
+        client.write_all(b"{\"op\":\"half\"}\n{\"op\":\"c\"}\n").expect("a successful write");
+        assert_eq!(server.read(&mut received).expect("an orderly close"), 0);
+        server.write_all(b"{\"op\":\"d\"}\n").expect("a successful write");
+        server.shutdown(Shutdown::Both).expect("an open connection");
+        assert_eq!(read_to_end(client).expect("an orderly close"), "{\"op\":\"d\"}\n");
+        // Silence: later messages are dropped, and the connection stays open.
+        let (mut client, mut server) = connect(address, &upstream_listener);
+        client.write_all(b"{\"op\":\"hush\"}\n{\"op\":\"e\"}\n").expect("a successful write");
+        server.write_all(b"{\"op\":\"f\"}\n").expect("a successful write");
+        client.read_exact(&mut received[..11]).expect("the reverse direction");
+        server.set_read_timeout(Some(Duration::from_millis(50))).expect("a socket option");
+        assert!(server.read(&mut received).is_err(), "no data and no close");
+        // A reset arrives as a reset.
+        let (mut client, server) = connect(address, &upstream_listener);
+        client.write_all(b"{\"op\":\"reset\"}\n").expect("a successful write");
+        let kind = |ended: std::io::Result<String>| ended.expect_err("a connection error").kind();
+        assert_eq!(kind(read_to_end(server)), std::io::ErrorKind::ConnectionReset);
+        assert_eq!(kind(read_to_end(client)), std::io::ErrorKind::ConnectionReset);
     });
 }
 
 #[test]
-fn other_addresses_than_loopback_are_refused() {
+fn non_loopback_addresses_are_rejected() {
     let address = |text: &str| text.parse().expect("an address");
     let link = |listen, upstream| Link { name: "a".into(), listen, upstream, framing: Framing::Raw };
     for (listen, upstream) in [("127.0.0.1:0", "10.0.0.1:9"), ("0.0.0.0:0", "127.0.0.1:9")] {
         let plan = Plan { links: vec![link(address(listen), address(upstream))], ..Plan::default() };
-        let told = Relay::start(plan).err().expect("refused").to_string();
-        assert_eq!(told, "link 'a': faults stay on loopback addresses");
+        let error = Relay::start(plan).err().expect("a rejected plan").to_string();
+        assert_eq!(error, "link 'a': fault injection is limited to loopback addresses");
     }
 }
--- a/rig/src/rig.rs
+++ b/rig/src/rig.rs
@@ -250,7 +250,7 @@
 
     /// Starts a machine's process on what its directory holds.
     pub fn run(&mut self, place: usize) {
-        let fronts = self.mesh.fronts();
+        let fronts = self.mesh.proxy_addresses();
         let machine = &self.machines[place];
         let seeds: Vec<String> = fronts.iter().take(3).map(|front| format!("\"{front}\"")).collect();
         let founders: Vec<String> =
@@ -585,7 +585,7 @@
     /// The plan has none of that name.
     pub fn phase(&self, name: &str) {
         self.history.note(What::Phase { name: name.into() });
-        assert!(self.mesh.enter(name), "no phase '{name}'");
+        assert!(self.mesh.enter_phase(name), "no phase '{name}'");
     }
 
     /// Asks all machines again and again how they are, and notes what changes.
--- a/rig/src/trouble.rs
+++ b/rig/src/trouble.rs
@@ -22,8 +22,8 @@
             .map(|(_, name)| name.clone())
             .collect()
     };
-    let bad = Rule { drop: 0.1, double: 0.3, delay_ms: (0, 80), reorder: 0.1, ..Rule::default() };
-    let slow = Rule { delay_ms: (200, 700), double: 0.2, ..Rule::default() };
+    let bad = Rule { drop: 0.1, duplicate: 0.3, delay_ms: (0, 80), reorder: 0.1, ..Rule::default() };
+    let slow = Rule { delay_ms: (200, 700), duplicate: 0.2, ..Rule::default() };
     let phase = |name: &str, rules| Phase { name: name.into(), rules };
     let mut phases = vec![
         phase("bad", vec![bad]),
