--- a/copies/src/failover.rs
+++ b/copies/src/failover.rs
@@ -13,6 +13,7 @@
 /// this: a release may take 8 s, and most of that time has passed by now.
 const QUERY_TIMEOUT_MS: Millis = 2_000;
 
+/// The query of one possible holder.
 #[derive(Debug)]
 struct HolderQuery {
     sent_at: Option<Millis>,
@@ -29,6 +30,7 @@
     pub records: BTreeMap<Call, CallRecord>,
 }
 
+/// The recovery of one stream.
 #[derive(Debug)]
 pub struct Failover {
     stream: StreamId,
--- a/copies/src/holder.rs
+++ b/copies/src/holder.rs
@@ -12,6 +12,7 @@
 /// Closed streams are remembered, so that a late message does not recreate them; this bounds how many.
 const MAX_CLOSED_STREAMS: usize = 1_024;
 
+/// A replica of one stream.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     /// The member that wrote the replica last, and the incarnation of its process.
@@ -23,7 +24,7 @@
     sequence: u64,
     records: BTreeMap<Call, CallRecord>,
     snapshot: Option<PartAssembler>,
-    heard_at: Millis,
+    last_message_at: Millis,
 }
 
 impl Replica {
@@ -48,11 +49,12 @@
     }
 
     /// When the replica's primary last sent a message.
-    pub fn heard_at(&self) -> Millis {
-        self.heard_at
+    pub fn last_message_at(&self) -> Millis {
+        self.last_message_at
     }
 }
 
+/// All replicas of one member.
 #[derive(Debug, Default)]
 pub struct ReplicaHolder {
     replicas: BTreeMap<StreamId, Replica>,
@@ -85,7 +87,7 @@
     }
 
     /// Discards empty replicas whose primary is no longer alive.
-    pub fn sweep(&mut self, is_alive: impl Fn(&str, u64) -> bool) {
+    pub fn discard_abandoned(&mut self, is_alive: impl Fn(&str, u64) -> bool) {
         self.replicas
             .retain(|_, replica| !replica.records.is_empty() || is_alive(&replica.primary, replica.boot));
     }
@@ -173,6 +175,7 @@
         }
     }
 
+    /// The replica to write, unless the stream is closed, the epoch is fenced or there is no capacity.
     fn admit(
         &mut self,
         now: Millis,
@@ -196,7 +199,7 @@
             return Err(Message::CapacityExceeded { stream, epoch });
         }
         replica.fence = epoch;
-        replica.heard_at = now;
+        replica.last_message_at = now;
         if replica.primary != from {
             replica.primary = from.into();
         }
--- a/copies/src/member.rs
+++ b/copies/src/member.rs
@@ -50,6 +50,7 @@
 pub struct PeerMember {
     pub name: String,
     pub zone: String,
+    /// The incarnation of the process: each start has a number of its own.
     pub boot: u64,
     /// Whether the member accepts set-ups and is not about to stop.
     pub is_serving: bool,
@@ -72,13 +73,15 @@
     pub has_lease: bool,
     pub peers: Vec<PeerMember>,
     pub stream_owners: Vec<StreamOwner>,
+    /// Streams that the consensus group has settled: no call of them is left.
     pub settled: Vec<StreamId>,
 }
 
 /// An event for the process that owns the calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicationEvent {
-    /// The first so many recorded changes are committed: enough holders have them.
+    /// The number of changes, counted from the first recorded one, that are committed: enough holders have
+    /// them.
     Committed(u64),
     /// The process owns these calls of a lost member from now on.
     TakenOver(Vec<(Call, CallRecord)>),
@@ -100,7 +103,7 @@
     ReleaseDelivered(Vec<Call>),
     /// The successor has told the callers of these relinquished calls nothing, and never will.
     Relinquished(Vec<Call>),
-    /// Whether too few other members can accept changes.
+    /// Whether too few other members can accept changes for them to be committed.
     Degraded(bool),
 }
 
@@ -138,6 +141,7 @@
     pub uncommitted_overflows: u64,
 }
 
+/// An announcement that calls are ended, repeated until the members in `awaiting` have acknowledged it.
 #[derive(Debug)]
 struct Announcement {
     id: u64,
@@ -147,6 +151,7 @@
     expires_at: Millis,
 }
 
+/// The replication state of one member.
 #[derive(Debug)]
 pub struct Member {
     name: String,
@@ -156,7 +161,7 @@
     own: Primary,
     taken_over: BTreeMap<StreamId, Primary>,
     /// The stream of each call that was taken over.
-    routed: BTreeMap<Call, StreamId>,
+    stream_by_call: BTreeMap<Call, StreamId>,
     failovers: BTreeMap<StreamId, Failover>,
     holder: ReplicaHolder,
     /// The number of recorded changes and of committed ones; `uncommitted` maps each change in between to
@@ -205,7 +210,7 @@
             policy,
             own: Primary::new(StreamId(boot), policy),
             taken_over: BTreeMap::new(),
-            routed: BTreeMap::new(),
+            stream_by_call: BTreeMap::new(),
             failovers: BTreeMap::new(),
             holder: ReplicaHolder::default(),
             recorded: 0,
@@ -278,7 +283,7 @@
     /// Records a change of a call's state; `None` removes the call.
     pub fn record_change(&mut self, call: Call, record: Option<CallRecord>) {
         self.recorded += 1;
-        let stream = self.routed.get(&call).copied();
+        let stream = self.stream_by_call.get(&call).copied();
         let primary = match stream.and_then(|stream| self.taken_over.get_mut(&stream)) {
             Some(primary) => primary,
             None => &mut self.own,
@@ -286,7 +291,7 @@
         let sequence = primary.record_change(call, record);
         self.uncommitted.push_back((self.recorded, primary.stream(), sequence));
         if record.is_none() {
-            self.routed.remove(&call);
+            self.stream_by_call.remove(&call);
         }
         if self.uncommitted.len() > MAX_UNCOMMITTED_CHANGES {
             self.uncommitted.pop_front();
@@ -298,23 +303,23 @@
     pub fn replace_all(&mut self, records: BTreeMap<Call, CallRecord>) {
         self.recorded += 1;
         let removed: Vec<Call> =
-            self.routed.keys().filter(|call| !records.contains_key(call)).copied().collect();
+            self.stream_by_call.keys().filter(|call| !records.contains_key(call)).copied().collect();
         for call in removed {
             if let Some(primary) =
-                self.routed.remove(&call).and_then(|stream| self.taken_over.get_mut(&stream))
+                self.stream_by_call.remove(&call).and_then(|stream| self.taken_over.get_mut(&stream))
             {
                 primary.record_change(call, None);
             }
         }
         let (routed, own): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            records.into_iter().partition(|(call, _)| self.routed.contains_key(call));
+            records.into_iter().partition(|(call, _)| self.stream_by_call.contains_key(call));
         for (call, record) in routed {
-            let primary = self.routed.get(&call).and_then(|stream| self.taken_over.get_mut(stream));
+            let primary = self.stream_by_call.get(&call).and_then(|stream| self.taken_over.get_mut(stream));
             if let Some(primary) = primary {
                 primary.record_change(call, Some(record));
             }
         }
-        let sequence = self.own.replace(own);
+        let sequence = self.own.replace_all(own);
         self.uncommitted.push_back((self.recorded, self.own.stream(), sequence));
     }
 
@@ -436,7 +441,7 @@
         let is_alive = |name: &str, boot: u64| {
             view.peers.iter().any(|peer| (peer.name.as_str(), peer.boot) == (name, boot))
         };
-        self.holder.sweep(is_alive);
+        self.holder.discard_abandoned(is_alive);
         if !view.has_lease {
             // Changes recorded from here on reach no other member.
             if self.shared_before_lease_loss.is_none() {
@@ -474,7 +479,7 @@
                 if let Some(primary) = self.taken_over.remove(stream) {
                     self.hand_over(now, &primary, owner);
                     let calls: BTreeSet<Call> = primary.records().keys().copied().collect();
-                    self.routed.retain(|call, _| !calls.contains(call));
+                    self.stream_by_call.retain(|call, _| !calls.contains(call));
                     self.give_up_calls(calls);
                 }
             }
@@ -489,8 +494,8 @@
         }
     }
 
-    /// Gives up this member's own stream to a successor and starts a new one: the cluster took this member
-    /// for lost.
+    /// Gives up this member's own stream to a successor and starts a new one: the cluster has declared this
+    /// member lost.
     fn give_up_own_stream(&mut self, now: Millis, by: &StreamOwner) {
         let all_calls = || self.own.records().keys().copied().collect();
         let shared: BTreeSet<Call> = self.shared_before_lease_loss.clone().unwrap_or_else(all_calls);
@@ -549,7 +554,7 @@
             for (call, _) in ended {
                 primary.record_change(call, None);
             }
-            self.routed.extend(taken_over.iter().map(|(call, _)| (*call, stream)));
+            self.stream_by_call.extend(taken_over.iter().map(|(call, _)| (*call, stream)));
             self.taken_over.insert(stream, primary);
             self.events.push_back(ReplicationEvent::TakenOver(taken_over));
             self.placed_at = None;
--- a/copies/src/member/handover.rs
+++ b/copies/src/member/handover.rs
@@ -12,6 +12,7 @@
 use crate::primary::Primary;
 use crate::{Call, CallRecord, Change, Millis, StreamId};
 
+/// Changes for a successor, sent again until the successor acknowledges them.
 #[derive(Debug)]
 pub(super) struct Handover {
     pub(super) id: u64,
@@ -24,7 +25,7 @@
     pub(super) expires_at: Millis,
 }
 
-/// The member that owns a stream after the cluster took the stream's primary for lost.
+/// The member that owns a stream after the cluster declared the stream's primary lost.
 #[derive(Clone, Debug)]
 pub(super) struct Successor {
     pub(super) name: String,
@@ -167,7 +168,7 @@
 
     /// The caller of a call has acknowledged its release.
     pub fn release_acknowledged(&mut self, call: Call) {
-        let stream = self.routed.get(&call).copied().unwrap_or(self.own.stream());
+        let stream = self.stream_by_call.get(&call).copied().unwrap_or(self.own.stream());
         self.acknowledged.entry(stream).or_default().push(call);
     }
 
@@ -249,6 +250,7 @@
         }
     }
 
+    /// Remembers the release of a call, and forgets the oldest ones beyond the retention bounds.
     pub(super) fn record_release(&mut self, call: Call, entry: ReleaseEntry) {
         let now = entry.updated_at;
         match self.releases.get_mut(&call) {
@@ -311,6 +313,7 @@
         self.outbox.push((from.into(), Message::HandoverAck { id }));
     }
 
+    /// Queues the handover of the last changes of a superseded primary to its successor.
     pub(super) fn hand_over(&mut self, now: Millis, old: &Primary, by: &StreamOwner) -> Successor {
         let shared = self.shared_before_lease_loss.as_ref();
         let is_shared = |call: &Call| shared.is_none_or(|calls| calls.contains(call));
--- a/copies/src/messages.rs
+++ b/copies/src/messages.rs
@@ -8,86 +8,41 @@
 /// Bound on the records in one message.
 pub const MAX_RECORDS_PER_MESSAGE: usize = 512;
 
+/// Encoded by position: variants and fields keep their order and types.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// From the primary: the changes that follow sequence number `after`, in order.
-    Append {
-        stream: StreamId,
-        epoch: u64,
-        after: u64,
-        changes: Vec<Change>,
-    },
+    Append { stream: StreamId, epoch: u64, after: u64, changes: Vec<Change> },
     /// From the primary: one part of all records as of `sequence`.
-    Snapshot {
-        stream: StreamId,
-        epoch: u64,
-        sequence: u64,
-        part: Part,
-    },
+    Snapshot { stream: StreamId, epoch: u64, sequence: u64, part: Part },
     /// From the primary: other members hold the stream now, and the receiver discards its replica.
-    Discard {
-        stream: StreamId,
-        epoch: u64,
-    },
+    Discard { stream: StreamId, epoch: u64 },
     /// From a holder: it has every change up to `sequence`; 0 if it has nothing. `received_parts`: the
     /// parts that it has of a snapshot in transfer.
-    Ack {
-        stream: StreamId,
-        epoch: u64,
-        sequence: u64,
-        received_parts: u32,
-    },
+    Ack { stream: StreamId, epoch: u64, sequence: u64, received_parts: u32 },
     /// From a holder: it has no capacity for the stream.
-    CapacityExceeded {
-        stream: StreamId,
-        epoch: u64,
-    },
+    CapacityExceeded { stream: StreamId, epoch: u64 },
     /// From a holder: another member is the primary of the stream, or is about to be.
-    Fenced {
-        stream: StreamId,
-        epoch: u64,
-    },
+    Fenced { stream: StreamId, epoch: u64 },
     /// From a successor: requests the part number `from` of the holder's replica. The holder rejects
     /// primaries of older epochs from now on.
-    Fetch {
-        stream: StreamId,
-        epoch: u64,
-        from: u32,
-    },
+    Fetch { stream: StreamId, epoch: u64, from: u32 },
     /// From a holder: the reply to `Fetch`. The primary of epoch `replica_epoch` wrote the replica; epoch 0
     /// with an empty part if the holder has none.
-    Fetched {
-        stream: StreamId,
-        epoch: u64,
-        replica_epoch: u64,
-        sequence: u64,
-        part: Part,
-    },
+    Fetched { stream: StreamId, epoch: u64, replica_epoch: u64, sequence: u64, part: Part },
     /// From a member that delivers or has delivered releases of calls that may belong to another member:
     /// these calls are ended wherever they are established. ID 0 marks an answer, which is not
     /// acknowledged.
-    CallsEnded {
-        id: u64,
-        calls: Vec<Call>,
-    },
-    CallsEndedAck {
-        id: u64,
-    },
+    CallsEnded { id: u64, calls: Vec<Call> },
+    /// Acknowledges `CallsEnded`.
+    CallsEndedAck { id: u64 },
     /// From a primary that was superseded by this epoch: its last changes, which its holders may lack.
-    Handover {
-        id: u64,
-        stream: StreamId,
-        epoch: u64,
-        changes: Vec<Change>,
-    },
-    HandoverAck {
-        id: u64,
-    },
+    Handover { id: u64, stream: StreamId, epoch: u64, changes: Vec<Change> },
+    /// From the successor: acknowledges `Handover`.
+    HandoverAck { id: u64 },
     /// From the primary, ahead of the changes that remove the calls: the callers of these calls have
     /// acknowledged their releases.
-    ReleasesAcknowledged {
-        calls: Vec<Call>,
-    },
+    ReleasesAcknowledged { calls: Vec<Call> },
 }
 
 /// One of several parts of a snapshot, which is sorted by call.
--- a/copies/src/primary.rs
+++ b/copies/src/primary.rs
@@ -31,6 +31,7 @@
     pub required_acks: usize,
 }
 
+/// What one holder has acknowledged and been sent.
 #[derive(Debug)]
 struct HolderProgress {
     /// The incarnation of the holder's process; another incarnation holds nothing.
@@ -47,6 +48,7 @@
     is_full: bool,
 }
 
+/// The transfer of a snapshot to one holder.
 #[derive(Debug)]
 struct SnapshotTransfer {
     sequence: u64,
@@ -152,7 +154,7 @@
     }
 
     /// Replaces all records and returns the sequence number of that change.
-    pub fn replace(&mut self, records: BTreeMap<Call, CallRecord>) -> u64 {
+    pub fn replace_all(&mut self, records: BTreeMap<Call, CallRecord>) -> u64 {
         self.records = records;
         self.sequence += 1;
         self.log.clear();
--- a/copies/tests/handover.rs
+++ b/copies/tests/handover.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    fn known(&self, of: usize) -> ClusterView {
+    fn view(&self, of: usize) -> ClusterView {
         let other = 1 - of;
         let peer = PeerMember { name: name(other), zone: "z2".into(), boot: BOOTS[other], is_serving: true };
         let peers = if of == 1 && self.is_declared_lost { Vec::new() } else { vec![peer] };
@@ -50,14 +50,14 @@
         ClusterView { has_lease: self.leased[of], peers, stream_owners, settled }
     }
 
-    /// Runs both members for so many ticks, delivers their messages, and returns the events of each.
+    /// Runs both members for a number of ticks, delivers their messages, and returns the events of each.
     fn run(&mut self, ticks: u64) -> [Vec<ReplicationEvent>; 2] {
         let mut events = [Vec::new(), Vec::new()];
         for _ in 0..ticks {
             self.now += TICK;
             for of in [0, 1] {
-                let known = self.known(of);
-                self.members[of].tick(self.now, &known);
+                let view = self.view(of);
+                self.members[of].tick(self.now, &view);
             }
             for from in [0, 1, 0, 1] {
                 for (to, message) in self.members[from].take_messages() {
@@ -156,8 +156,8 @@
     let mut events = Vec::new();
     for _ in 0..300 {
         pair.now += TICK;
-        let known = pair.known(0);
-        pair.members[0].tick(pair.now, &known);
+        let view = pair.view(0);
+        pair.members[0].tick(pair.now, &view);
         pair.members[0].take_messages();
         events.extend(std::iter::from_fn(|| pair.members[0].next_event()));
     }
@@ -227,12 +227,12 @@
     pair.fail_over();
     pair.members[0].announce_release(pair.now, CALL);
     let [mut resumed, successor] = pair.run(1);
-    let question = successor.iter().find_map(|events| match events {
-        ReplicationEvent::Barrier(question) => Some(question.clone()),
+    let request = successor.iter().find_map(|event| match event {
+        ReplicationEvent::Barrier(request) => Some(request.clone()),
         _ => None,
     });
     pair.members[1].release_delivered(pair.now, CALL);
-    pair.members[1].confirm(question.expect("a request is queued"));
+    pair.members[1].confirm(request.expect("a request is queued"));
     resumed.append(&mut pair.run(2)[0]);
     let delivered = resumed.iter().position(|event| *event == ReplicationEvent::ReleaseDelivered(vec![CALL]));
     let all_notified = resumed.iter().position(|event| *event == ReplicationEvent::AllNotified(vec![CALL]));
--- a/copies/tests/lives.rs
+++ b/copies/tests/lives.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    fn number_of(name: &str) -> usize {
+    fn index_of(name: &str) -> usize {
         name[1..].parse().expect("a member")
     }
 
@@ -123,12 +123,12 @@
         for of in self.primaries.keys().copied().collect::<Vec<_>>() {
             let now = self.now;
             for (to, message) in self.primary(of).poll(now) {
-                self.send(of, Self::number_of(&to), message);
+                self.send(of, Self::index_of(&to), message);
             }
         }
         if let Some((by, mut failover)) = self.failover.take() {
             for (to, message) in failover.poll(self.now) {
-                self.send(by, Self::number_of(&to), message);
+                self.send(by, Self::index_of(&to), message);
             }
             self.failover = Some((by, failover));
         }
@@ -239,7 +239,7 @@
         assert_eq!(records, recovered.records, "seed {seed}");
         for holder in holders {
             let replica =
-                simulation.members[Simulation::number_of(&holder)].holder.replica(STREAM).expect("held");
+                simulation.members[Simulation::index_of(&holder)].holder.replica(STREAM).expect("held");
             assert_eq!((replica.epoch(), replica.records()), (1, &records), "seed {seed}, {holder}");
         }
     }
@@ -313,7 +313,7 @@
         );
         for holder in simulation.primary(0).holders().map(str::to_string).collect::<Vec<_>>() {
             let replica =
-                simulation.members[Simulation::number_of(&holder)].holder.replica(STREAM).expect("held");
+                simulation.members[Simulation::index_of(&holder)].holder.replica(STREAM).expect("held");
             assert_eq!(
                 (replica.sequence(), replica.records()),
                 (sequence, &records),
--- a/faults/src/datagrams.rs
+++ b/faults/src/datagrams.rs
@@ -65,6 +65,7 @@
     }
 }
 
+/// Both directions of a flow.
 struct Flow {
     forward: Rc<FlowDirection>,
     reverse: JoinHandle<()>,
--- a/faults/src/decide.rs
+++ b/faults/src/decide.rs
@@ -26,6 +26,7 @@
     pub action: Action,
 }
 
+/// Applies a plan.
 #[derive(Clone, Debug)]
 pub struct Decider {
     plan: Plan,
--- a/faults/src/frames.rs
+++ b/faults/src/frames.rs
@@ -91,7 +91,7 @@
     head.min(message.len())..message.len().saturating_sub(tail).max(head.min(message.len()))
 }
 
-/// Truncates the body of a message to so many octets and adjusts the frame.
+/// Truncates the body of a message to at most `max_octets` and adjusts the frame.
 pub fn truncate(framing: Framing, message: &[u8], max_octets: usize) -> Vec<u8> {
     let body = body_range(framing, message);
     let length = body.len().min(max_octets);
--- a/faults/src/mesh.rs
+++ b/faults/src/mesh.rs
@@ -151,6 +151,7 @@
     pub address: SocketAddr,
 }
 
+/// What the proxies of a mesh share.
 pub(crate) struct MeshState {
     plan: Plan,
     pub(crate) members: Vec<Member>,
--- a/faults/src/plan.rs
+++ b/faults/src/plan.rs
@@ -94,16 +94,16 @@
     #[default]
     Pass,
     Drop,
-    /// The message is sent so many times in all.
+    /// The message is sent this number of times in all.
     Repeat(u8),
-    /// So many octets are corrupted; the message's frame and the messages behind it stay intact.
+    /// This number of octets is corrupted; the message's frame and the messages behind it stay intact.
     #[serde(rename = "garble")]
     Corrupt(u16),
-    /// The body is truncated to so many octets, and the frame is adjusted.
+    /// The body is truncated to this number of octets, and the frame is adjusted.
     Truncate(usize),
     /// These octets are sent in place of the message.
     Replace(Vec<u8>),
-    /// The message, and those behind it, wait for so many milliseconds.
+    /// The message, and those behind it, wait for this number of milliseconds.
     Delay(u32),
     /// The message is sent behind the next one.
     Swap,
