--- a/agent/src/ports/copies.rs
+++ b/agent/src/ports/copies.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-use steprelay_copies::member::Question;
-use steprelay_copies::{Call, Record};
+use steprelay_copies::member::PeerRequest;
+use steprelay_copies::{Call, CallRecord};
 use steprelay_core::{CallState, ReleaseCause};
 use steprelay_decisions::{CallId, ServerId};
 
@@ -23,25 +23,29 @@
     /// The caller of a call that another member is about to see to was told here that it is over.
     Given(CallId),
     /// What preceded another member's question was carried out.
-    Confirmed(Question),
+    Confirmed(PeerRequest),
     /// Of calls that were given up to a successor: their callers were told nothing, and are to be told here
     /// that they failed, unless the successor has ended them.
     Relinquished(Vec<CallId>),
 }
 
-pub fn record(promise: CallState) -> Record {
+pub fn record(promise: CallState) -> CallRecord {
     match promise {
-        CallState::AttemptPending(server) => Record::Out { server: server.0 },
-        CallState::Established(server) => Record::Stands { server: server.0 },
-        CallState::ReleasePending(server, cause) => Record::Owed { server: server.0, cause: cause.0 },
+        CallState::AttemptPending(server) => CallRecord::AttemptPending { server: server.0 },
+        CallState::Established(server) => CallRecord::Established { server: server.0 },
+        CallState::ReleasePending(server, cause) => {
+            CallRecord::ReleasePending { server: server.0, cause: cause.0 }
+        }
     }
 }
 
-pub fn promise(record: Record) -> CallState {
+pub fn promise(record: CallRecord) -> CallState {
     match record {
-        Record::Out { server } => CallState::AttemptPending(ServerId(server)),
-        Record::Stands { server } => CallState::Established(ServerId(server)),
-        Record::Owed { server, cause } => CallState::ReleasePending(ServerId(server), ReleaseCause(cause)),
+        CallRecord::AttemptPending { server } => CallState::AttemptPending(ServerId(server)),
+        CallRecord::Established { server } => CallState::Established(ServerId(server)),
+        CallRecord::ReleasePending { server, cause } => {
+            CallState::ReleasePending(ServerId(server), ReleaseCause(cause))
+        }
     }
 }
 
--- a/rig/tests/delivery/ports.rs
+++ b/rig/tests/delivery/ports.rs
@@ -40,8 +40,8 @@
 pub mod copies {
     use std::sync::atomic::{AtomicU64, Ordering};
 
-    use steprelay_copies::member::Question;
-    use steprelay_copies::{Call, Record};
+    use steprelay_copies::member::PeerRequest;
+    use steprelay_copies::{Call, CallRecord};
     use steprelay_core::{CallState, ReleaseCause};
     use steprelay_decisions::{CallId, ServerId};
 
@@ -55,23 +55,25 @@
         PassedOn(CallId),
         Acknowledged(CallId),
         Given(CallId),
-        Confirmed(Question),
+        Confirmed(PeerRequest),
         Relinquished(Vec<CallId>),
     }
 
-    pub fn record(promise: CallState) -> Record {
+    pub fn record(promise: CallState) -> CallRecord {
         match promise {
-            CallState::AttemptPending(server) => Record::Out { server: server.0 },
-            CallState::Established(server) => Record::Stands { server: server.0 },
-            CallState::ReleasePending(server, cause) => Record::Owed { server: server.0, cause: cause.0 },
+            CallState::AttemptPending(server) => CallRecord::AttemptPending { server: server.0 },
+            CallState::Established(server) => CallRecord::Established { server: server.0 },
+            CallState::ReleasePending(server, cause) => {
+                CallRecord::ReleasePending { server: server.0, cause: cause.0 }
+            }
         }
     }
 
-    pub fn promise(record: Record) -> CallState {
+    pub fn promise(record: CallRecord) -> CallState {
         match record {
-            Record::Out { server } => CallState::AttemptPending(ServerId(server)),
-            Record::Stands { server } => CallState::Established(ServerId(server)),
-            Record::Owed { server, cause } => {
+            CallRecord::AttemptPending { server } => CallState::AttemptPending(ServerId(server)),
+            CallRecord::Established { server } => CallState::Established(ServerId(server)),
+            CallRecord::ReleasePending { server, cause } => {
                 CallState::ReleasePending(ServerId(server), ReleaseCause(cause))
             }
         }
