--- a/agent/src/fleet/config.rs
+++ b/agent/src/fleet/config.rs
@@ -6,8 +6,8 @@
 
 use serde::Deserialize;
 use steprelay_copies::writer::Limits as CopyLimits;
-use steprelay_fleet::order::Limits;
-use steprelay_fleet::words::{MAJOR, MINOR};
+use steprelay_fleet::messages::{MAJOR, MINOR};
+use steprelay_fleet::scheduler::Limits;
 use steprelay_fleet::Millis;
 use toml::Spanned;
 
@@ -306,7 +306,7 @@
             founders: founders.clone(),
             directory: path.parent().unwrap_or(Path::new("")).join(raw.directory.get_ref()),
             limits: Limits {
-                most_out: *work.most_out.get_ref(),
+                max_out: *work.most_out.get_ref(),
                 reserve: check.figure(&work.reserve, "work.reserve", 100.0)?,
                 calm_ms: (check.figure(&work.calm_s, "work.calm_s", LONGEST_CALM)? * 1000.0) as Millis,
             },
@@ -338,14 +338,14 @@
     fn a_good_file_is_read_with_its_bounds() {
         let config = FleetConfig::read(Path::new("/etc/fleet/n1.toml"), GOOD).expect("good");
         assert_eq!(config.directory, Path::new("/etc/fleet/state"));
-        assert_eq!(config.limits, Limits { most_out: 1, reserve: 1.0, calm_ms: 2_500 });
+        assert_eq!(config.limits, Limits { max_out: 1, reserve: 1.0, calm_ms: 2_500 });
         assert_eq!(config.copies, None, "off without its table");
         let config = FleetConfig::read(Path::new("n1.toml"), &format!("{GOOD}[copies]\n")).expect("defaults");
         let limits = CopyLimits { copies: 2, needed: 1 };
         assert_eq!(config.copies, Some(CopiesConfig { limits, after_copies: true, refuse_short: false }));
         let short = GOOD.split("[work]").next().expect("a part");
         let config = FleetConfig::read(Path::new("n1.toml"), short).expect("defaults");
-        assert_eq!(config.limits, Limits { most_out: 1, reserve: 0.2, calm_ms: 30_000 });
+        assert_eq!(config.limits, Limits { max_out: 1, reserve: 0.2, calm_ms: 30_000 });
     }
 
     #[test]
--- a/agent/src/fleet/copies.rs
+++ b/agent/src/fleet/copies.rs
@@ -7,9 +7,9 @@
 use steprelay_copies::member::{Authority, Figures, Known, Member, News, Other};
 use steprelay_copies::words::Word;
 use steprelay_copies::StreamId;
+use steprelay_fleet::messages::{HeldReplica, StreamEpoch};
 use steprelay_fleet::node::Node;
 use steprelay_fleet::swim;
-use steprelay_fleet::words::{Held, Written};
 use steprelay_fleet::Millis;
 use tokio::sync::mpsc;
 
@@ -92,14 +92,14 @@
 
     /// Time has passed: what the fleet knows by now counts.
     pub fn tick(&mut self, now: Millis, node: &mut Node) {
-        let agreed = node.agreed();
-        let authorities = agreed.streams.iter().map(|(stream, by)| Authority {
+        let cluster_state = node.cluster_state();
+        let authorities = cluster_state.stream_owners.iter().map(|(stream, by)| Authority {
             stream: StreamId(*stream),
             name: by.name.clone(),
             boot: by.boot,
             epoch: by.epoch,
         });
-        let others = node.places().map(|(member, serves)| Other {
+        let others = node.replica_candidates().map(|(member, serves)| Other {
             name: member.name.clone(),
             zone: member.zone.clone(),
             boot: member.boot,
@@ -109,22 +109,22 @@
             leased: node.lease().is_some_and(|until| now < until),
             others: others.collect(),
             authorities: authorities.collect(),
-            settled: agreed.settled.iter().copied().map(StreamId).collect(),
+            settled: cluster_state.closed_streams.iter().copied().map(StreamId).collect(),
         };
         self.member.tick(now, &known);
         for (stream, epoch) in self.member.settle(now) {
-            node.settle(now, stream.0, epoch);
+            node.close_stream(now, stream.0, epoch);
         }
         let writes = self.member.writes().into_iter();
-        let writes = writes.map(|(stream, epoch)| Written { stream: stream.0, epoch });
+        let writes = writes.map(|(stream, epoch)| StreamEpoch { stream: stream.0, epoch });
         let copies = self.member.holder().copies().filter(|(_, copy)| !copy.records().is_empty());
-        let holds = copies.map(|(stream, copy)| Held {
-            written: Written { stream: stream.0, epoch: copy.epoch() },
-            writer: copy.writer().into(),
-            boot: copy.boot(),
-            number: copy.number(),
+        let holds = copies.map(|(stream, copy)| HeldReplica {
+            stream: StreamEpoch { stream: stream.0, epoch: copy.epoch() },
+            primary: copy.writer().into(),
+            primary_boot: copy.boot(),
+            sequence: copy.number(),
         });
-        node.copies(writes.collect(), holds.collect());
+        node.set_streams(writes.collect(), holds.collect());
     }
 
     /// Says what is new, and tells the program what came of it.
@@ -132,7 +132,7 @@
         self.member.poll(now);
         for (to, word) in self.member.take_words() {
             // Nothing that a word holds can fail to be written into memory.
-            node.say_copies(&to, postcard::to_stdvec(&word).unwrap_or_default());
+            node.send_replication(&to, postcard::to_stdvec(&word).unwrap_or_default());
         }
         while let Some(news) = self.member.take_news() {
             self.waiting.push_back(news);
--- a/agent/src/fleet/frames.rs
+++ b/agent/src/fleet/frames.rs
@@ -1,7 +1,7 @@
 //! Frames of links between members: a length (4 octets), the version of the speaker (2 and 2), and an
 //! [`Envelope`].
 
-use steprelay_fleet::words::{Envelope, MAJOR, MINOR};
+use steprelay_fleet::messages::{Envelope, MAJOR, MINOR};
 
 /// A frame is no longer than this, its length not counted.
 pub const LONGEST: usize = 1 << 20;
@@ -67,8 +67,8 @@
 #[cfg(test)]
 mod tests {
     use proptest::prelude::*;
+    use steprelay_fleet::messages::{GroupId, Payload};
     use steprelay_fleet::swim::Member;
-    use steprelay_fleet::words::{Foundation, Payload};
 
     use super::*;
 
@@ -78,13 +78,13 @@
             zone: "z1".into(),
             address: "127.0.0.1:7801".parse().expect("an address"),
             node: 7,
-            life: 3,
+            incarnation: 3,
             boot: 9,
         };
         Envelope {
             cluster: "kl".into(),
             from,
-            foundation: Foundation { number: 1, founder: 7 },
+            group_id: GroupId { number: 1, founder: 7 },
             payload,
             minor: MINOR,
         }
@@ -98,7 +98,7 @@
     #[test]
     fn what_is_said_is_heard() {
         for payload in
-            [Payload::Hello, Payload::Leaving, Payload::Raft(vec![1, 2, 3]), Payload::Refused("no".into())]
+            [Payload::Hello, Payload::Leaving, Payload::Raft(vec![1, 2, 3]), Payload::Rejected("no".into())]
         {
             let said = envelope(payload);
             assert_eq!(decode(body(&encode(&said))), Ok(Some(said)));
--- a/agent/src/fleet/links.rs
+++ b/agent/src/fleet/links.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use super::frames::{self, FrameError};
-use steprelay_fleet::words::{Envelope, Payload};
+use steprelay_fleet::messages::{Envelope, Payload};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
--- a/agent/src/fleet/mod.rs
+++ b/agent/src/fleet/mod.rs
@@ -21,10 +21,10 @@
 use steprelay_copies::member::{Figures as CopyFigures, News};
 use steprelay_core::duty::State;
 use steprelay_decisions::{Micros, Readiness, ServerId};
-use steprelay_fleet::council::CouncilError;
-use steprelay_fleet::node::{Figures, Node, Page, Setup};
+use steprelay_fleet::consensus::ConsensusError;
+use steprelay_fleet::messages::Status;
+use steprelay_fleet::node::{Metrics, Node, NodeConfig, PersistentState};
 use steprelay_fleet::swim::Member;
-use steprelay_fleet::words::Status;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
@@ -57,7 +57,7 @@
     #[error("fleet: {0}")]
     Store(#[from] StoreError),
     #[error("fleet: {0}")]
-    Council(#[from] CouncilError),
+    Council(#[from] ConsensusError),
     #[error("fleet: {what}: {error}")]
     Io { what: String, error: io::Error },
 }
@@ -93,7 +93,7 @@
         let disk = drawn().map_err(io("/dev/urandom".into()))?;
         let boot = drawn().map_err(io("/dev/urandom".into()))?;
         let (store, page, kept) =
-            Store::open(&config.directory, &config.cluster, &config.name, || Page::first(disk))?;
+            Store::open(&config.directory, &config.cluster, &config.name, || PersistentState::first(disk))?;
         let control = {
             let directory = config.directory.display().to_string();
             // Listens from now on: whoever reads the line below may ask.
@@ -105,10 +105,10 @@
             zone: config.zone.clone(),
             address: config.advertise.unwrap_or(listens),
             node: page.node,
-            life: page.life,
+            incarnation: page.incarnation,
             boot,
         };
-        let setup = Setup {
+        let setup = NodeConfig {
             cluster: config.cluster,
             founders: config.founders,
             limits: config.limits,
@@ -116,7 +116,7 @@
         };
         let (status, statuses) = watch::channel(Status::default());
         let (wanted, mut wants) = watch::channel(Wanted::default());
-        let (figures, shown) = watch::channel((Figures::default(), None));
+        let (figures, shown) = watch::channel((Metrics::default(), None));
         let started = Instant::now();
         let lease = Arc::new(Lease::new(started));
         let (notes, noted) = mpsc::channel(NOTES);
@@ -217,7 +217,7 @@
     mut wants: watch::Receiver<Wanted>,
     mut done: Wanted,
     status: watch::Sender<Status>,
-    shown: watch::Receiver<(Figures, Option<CopyFigures>)>,
+    shown: watch::Receiver<(Metrics, Option<CopyFigures>)>,
     capacity_milli: u64,
 ) {
     let mut look = interval(LOOK);
--- a/agent/src/fleet/owner.rs
+++ b/agent/src/fleet/owner.rs
@@ -8,11 +8,11 @@
 use std::time::Instant;
 
 use steprelay_copies::member::Figures as CopyFigures;
-use steprelay_fleet::agreed::{Command, CommandId, Refusal};
-use steprelay_fleet::node::{Effect, Figures, Node};
+use steprelay_fleet::cluster_state::{Command, CommandId, Rejection};
+use steprelay_fleet::maintenance::{MaintenanceRequest, TargetKind};
+use steprelay_fleet::messages::{self, LeaderRequest, LeaderResponse, Payload, Status};
+use steprelay_fleet::node::{Effect, Metrics, Node};
 use steprelay_fleet::swim::Health;
-use steprelay_fleet::words::{self, Ask, Payload, Status, Told};
-use steprelay_fleet::work::{Item, Kind};
 use steprelay_fleet::Millis;
 use tokio::net::{TcpListener, UnixListener};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -43,7 +43,7 @@
 pub struct Ends {
     pub status: watch::Receiver<Status>,
     pub wanted: watch::Sender<Wanted>,
-    pub figures: watch::Sender<(Figures, Option<CopyFigures>)>,
+    pub figures: watch::Sender<(Metrics, Option<CopyFigures>)>,
     pub copies: Option<Copies>,
     /// Ends with its sender: the program stops.
     pub stop: oneshot::Receiver<()>,
@@ -107,7 +107,7 @@
         let (asked, mut asks) = mpsc::channel::<Asked>(4);
         let envelope = self.node.envelope(Payload::Hello);
         let refuse = Rc::new(move |why| {
-            frames::encode(&words::Envelope { payload: Payload::Refused(why), ..envelope.clone() })
+            frames::encode(&messages::Envelope { payload: Payload::Rejected(why), ..envelope.clone() })
         });
         spawn_local(links::accept(listener, self.links.clone(), refuse));
         spawn_local(control::serve(control, asked));
@@ -122,7 +122,7 @@
                 Some(came) = comes.recv() => {
                     // What came while the process slept is read by the time that it is now.
                     let now = self.now();
-                    self.node.wake(now);
+                    self.node.detect_stall(now);
                     self.take(came);
                     for _ in 1..AT_ONCE {
                         let Ok(came) = comes.try_recv() else { break };
@@ -150,7 +150,7 @@
             copies.turn(now, &mut self.node);
         }
         self.carry_out()?;
-        self.node.leave(now);
+        self.node.leave_cluster(now);
         self.carry_out()?;
         tokio::time::sleep(FAREWELL).await;
         Ok(())
@@ -158,9 +158,9 @@
 
     fn tick(&mut self) {
         let now = self.now();
-        self.node.wake(now);
+        self.node.detect_stall(now);
         let status = self.ends.status.borrow().clone();
-        self.node.status(status);
+        self.node.set_status(status);
         if let Some(copies) = &mut self.ends.copies {
             copies.tick(now, &mut self.node);
         }
@@ -179,7 +179,7 @@
             }
         }
         let links = self.links.borrow();
-        let figures = Figures { unsent: links.lost, octets: links.octets, ..self.node.figures() };
+        let figures = Metrics { unsent: links.lost, octets: links.octets, ..self.node.metrics() };
         let figures = (figures, self.ends.copies.as_ref().map(Copies::figures));
         drop(links);
         self.ends.figures.send_if_modified(|known| {
@@ -197,7 +197,7 @@
                     return;
                 }
                 let now = self.now();
-                if !self.node.received(now, *envelope) && self.carry_out().is_ok() {
+                if !self.node.receive(now, *envelope) && self.carry_out().is_ok() {
                     self.links.borrow_mut().close(from);
                 }
             }
@@ -214,9 +214,9 @@
         let mut changes = Vec::new();
         for effect in self.node.take_effects() {
             let change = match effect {
-                Effect::Write(write) => Change::Log(write),
-                Effect::Keep(page) => Change::Page(page),
-                Effect::Renew { page, log } => Change::Renew(page, log),
+                Effect::WriteLog(write) => Change::Log(write),
+                Effect::Persist(page) => Change::Page(page),
+                Effect::ReplaceLog { page, log } => Change::Renew(page, log),
                 other => {
                     if !changes.is_empty() {
                         self.store.write(std::mem::take(&mut changes))?;
@@ -236,30 +236,30 @@
     fn do_one(&mut self, effect: Effect) {
         match effect {
             Effect::Send { to, payload } => {
-                let first = matches!(payload, Payload::Welcome { .. } | Payload::Refused(_));
+                let first = matches!(payload, Payload::Welcome { .. } | Payload::Rejected(_));
                 let frame = frames::encode(&self.node.envelope(payload));
                 let hello = || frames::encode(&self.node.envelope(Payload::Hello));
                 self.links.borrow_mut().send(to, frame, first, hello);
             }
-            Effect::Leave { grant } | Effect::Stay { grant } => {
-                self.ends.wanted.send_modify(|wanted| wanted.away = Some(grant));
+            Effect::StartDrain { approval } | Effect::RemainOut { approval } => {
+                self.ends.wanted.send_modify(|wanted| wanted.away = Some(approval));
             }
-            Effect::Return => self.ends.wanted.send_modify(|wanted| wanted.away = None),
-            Effect::Hold(held) => self.ends.wanted.send_modify(|wanted| wanted.held = held),
-            Effect::Told { id, told } => {
+            Effect::Resume => self.ends.wanted.send_modify(|wanted| wanted.away = None),
+            Effect::HoldServers(held) => self.ends.wanted.send_modify(|wanted| wanted.held = held),
+            Effect::Response { id, response: told } => {
                 if let Some(answer) = self.waiting.remove(&id) {
                     // Whoever asked may have gone meanwhile.
                     let _ = answer.send(response(told));
                 }
             }
             Effect::Log(line) => eprintln!("steprelay: {line}"),
-            Effect::Copies { from, bytes } => {
+            Effect::Replication { from, bytes } => {
                 let now = self.now();
                 if let Some(copies) = &mut self.ends.copies {
                     copies.received(now, &from, &bytes);
                 }
             }
-            Effect::Write(_) | Effect::Keep(_) | Effect::Renew { .. } => {}
+            Effect::WriteLog(_) | Effect::Persist(_) | Effect::ReplaceLog { .. } => {}
         }
     }
 
@@ -272,9 +272,13 @@
             }
             Request::Work => {
                 // An empty list would be taken for the council's word.
-                let not_yet = || refused(Refusal::Not("nothing has been heard of the council yet".into()));
-                let response =
-                    if self.node.knows() { Response::Work { work: self.work() } } else { not_yet() };
+                let not_yet =
+                    || refused(Rejection::NotAllowed("nothing has been heard of the council yet".into()));
+                let response = if self.node.has_cluster_state() {
+                    Response::Work { work: self.work() }
+                } else {
+                    not_yet()
+                };
                 let _ = answer.send(response);
                 return;
             }
@@ -289,34 +293,36 @@
                 let _ = answer.send(done.map_or_else(refused, |()| Response::Done));
                 return;
             }
-            Request::Explain { machine } => Ask::Explain(machine),
+            Request::Explain { machine } => LeaderRequest::Explain(machine),
             Request::Add { machine, for_ms, reason, after, within_ms } => {
-                let kind = server_number(&machine).map_or(Kind::Agent, Kind::Server);
+                let kind = server_number(&machine).map_or(TargetKind::Agent, TargetKind::Server);
                 let zone = String::new();
-                Ask::Do(Command::Add { machine, kind, zone, reason, for_ms, after, within_ms })
+                LeaderRequest::Execute(Command::Add { machine, kind, zone, reason, for_ms, after, within_ms })
             }
-            Request::Extend { machine, more_ms } => Ask::Do(Command::Extend { machine, more_ms }),
-            Request::Withdraw { machine } => Ask::Do(Command::Withdraw { machine }),
-            Request::Done { machine } => Ask::Do(Command::Finish { machine }),
-            Request::Forget { machine } => Ask::Do(Command::Forget { name: machine }),
-            Request::Pause { reason } => Ask::Do(Command::Pause { reason }),
+            Request::Extend { machine, more_ms } => {
+                LeaderRequest::Execute(Command::Extend { machine, more_ms })
+            }
+            Request::Withdraw { machine } => LeaderRequest::Execute(Command::Withdraw { machine }),
+            Request::Done { machine } => LeaderRequest::Execute(Command::Finish { machine }),
+            Request::Forget { machine } => LeaderRequest::Execute(Command::Forget { name: machine }),
+            Request::Pause { reason } => LeaderRequest::Execute(Command::Pause { reason }),
         };
-        let id = self.node.ask(now, ask);
+        let id = self.node.submit(now, ask);
         self.waiting.insert(id, answer);
     }
 
     fn members(&self) -> Vec<MemberRow> {
-        let leader = self.node.figures().leader;
-        let voters = &self.node.agreed().voters;
+        let leader = self.node.metrics().leader;
+        let voters = &self.node.cluster_state().voters;
         let row = |(member, health): (steprelay_fleet::swim::Member, Health)| MemberRow {
             voter: voters.contains_key(&member.node),
             leader: leader.as_ref() == Some(&member.name),
             address: member.address.to_string(),
-            state: health.word().into(),
+            state: health.as_str().into(),
             version: self
                 .node
                 .minor_of(&member.name)
-                .map_or_else(String::new, |minor| format!("{}.{minor}", words::MAJOR)),
+                .map_or_else(String::new, |minor| format!("{}.{minor}", messages::MAJOR)),
             name: member.name,
             zone: member.zone,
         };
@@ -324,25 +330,28 @@
     }
 
     fn work(&self) -> Vec<WorkRow> {
-        let agreed = self.node.agreed();
-        let time = agreed.time_ms;
-        let row = |item: &Item| WorkRow {
+        let cluster_state = self.node.cluster_state();
+        let time = cluster_state.time_ms;
+        let row = |item: &MaintenanceRequest| WorkRow {
             machine: item.machine.clone(),
-            state: item.state.word().into(),
-            grant: item.grant,
+            state: item.state.as_str().into(),
+            grant: item.approval,
             zone: item.zone.clone(),
             reason: item.reason.clone(),
             for_s: item.for_ms / 1000,
             after: item.after.clone(),
-            since_s: time.saturating_sub(item.since_ms) / 1000,
-            due_s: item.due_ms.filter(|_| !item.state.is_over()).map(|due| (due as i64 - time as i64) / 1000),
+            since_s: time.saturating_sub(item.state_since_ms) / 1000,
+            due_s: item
+                .due_at_ms
+                .filter(|_| !item.state.is_over())
+                .map(|due| (due as i64 - time as i64) / 1000),
         };
         // Of a machine that was worked on before, only the last time counts once it is asked for again.
-        let open = agreed.open.iter().map(row);
+        let open = cluster_state.open_requests.iter().map(row);
         let mut over: Vec<WorkRow> = Vec::new();
-        for item in agreed.over.iter().rev() {
-            let known =
-                agreed.item(&item.machine).is_some() || over.iter().any(|row| row.machine == item.machine);
+        for item in cluster_state.closed_requests.iter().rev() {
+            let known = cluster_state.open_request(&item.machine).is_some()
+                || over.iter().any(|row| row.machine == item.machine);
             if !known {
                 over.push(row(item));
             }
@@ -360,14 +369,14 @@
     }
 }
 
-fn refused(refusal: Refusal) -> Response {
+fn refused(refusal: Rejection) -> Response {
     Response::Refused { why: refusal.to_string() }
 }
 
-fn response(told: Told) -> Response {
+fn response(told: LeaderResponse) -> Response {
     match told {
-        Told::Outcome(outcome) => outcome.map_or_else(refused, |()| Response::Done),
-        Told::Text(text) => Response::Text { text },
-        Told::NotLeading(_) => refused(Refusal::NoMajority),
+        LeaderResponse::Outcome(outcome) => outcome.map_or_else(refused, |()| Response::Done),
+        LeaderResponse::Text(text) => Response::Text { text },
+        LeaderResponse::NotLeader(_) => refused(Rejection::NoQuorum),
     }
 }
--- a/agent/src/fleet/store.rs
+++ b/agent/src/fleet/store.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use redb::{Database, ReadableTable, TableDefinition};
-use steprelay_fleet::council::{Kept, Write};
-use steprelay_fleet::node::Page;
+use steprelay_fleet::consensus::{PersistedLog, Write};
+use steprelay_fleet::node::PersistentState;
 
 /// Entries of the council's log, by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
@@ -29,9 +29,9 @@
 /// What is to be on disk next.
 pub enum Change {
     Log(Write),
-    Page(Box<Page>),
+    Page(Box<PersistentState>),
     /// The log is another one.
-    Renew(Box<Page>, Option<Write>),
+    Renew(Box<PersistentState>, Option<Write>),
 }
 
 pub struct Store {
@@ -48,8 +48,8 @@
         directory: &Path,
         cluster: &str,
         name: &str,
-        first: impl FnOnce() -> Page,
-    ) -> Result<(Self, Page, Kept), StoreError> {
+        first: impl FnOnce() -> PersistentState,
+    ) -> Result<(Self, PersistentState, PersistedLog), StoreError> {
         std::fs::create_dir_all(directory)
             .map_err(|error| StoreError::Directory { path: directory.into(), error })?;
         let path = directory.join("fleet.redb");
@@ -63,7 +63,9 @@
             return Err(StoreError::NotOurs { path, found, wanted });
         }
         let page = match page {
-            Some(bytes) => Page::from_bytes(&bytes).ok_or(StoreError::Spoilt { path: path.clone() })?,
+            Some(bytes) => {
+                PersistentState::from_bytes(&bytes).ok_or(StoreError::Spoilt { path: path.clone() })?
+            }
             None => first(),
         };
         let kept = store.begin(&wanted).map_err(unusable)?;
@@ -82,9 +84,9 @@
         Ok(found)
     }
 
-    fn begin(&self, about: &str) -> Result<Kept, redb::Error> {
+    fn begin(&self, about: &str) -> Result<PersistedLog, redb::Error> {
         let transaction = self.database.begin_write()?;
-        let mut kept = Kept::default();
+        let mut kept = PersistedLog::default();
         {
             let mut pages = transaction.open_table(PAGES)?;
             pages.insert("about", about.as_bytes())?;
@@ -131,7 +133,7 @@
                     }
                 };
                 match write {
-                    Some(Write::Hard(bytes)) => {
+                    Some(Write::HardState(bytes)) => {
                         pages.insert("hard", bytes.as_slice())?;
                     }
                     Some(Write::Entries(entries)) => {
@@ -142,9 +144,9 @@
                             log.insert(index, bytes.as_slice())?;
                         }
                     }
-                    Some(Write::Snapshot { index, bytes, whole }) => {
+                    Some(Write::Snapshot { index, bytes, replace_all }) => {
                         pages.insert("snapshot", bytes.as_slice())?;
-                        if whole {
+                        if replace_all {
                             log.retain(|_, _| false)?;
                         } else {
                             log.retain_in::<u64, _>(..=index, |_, _| false)?;
@@ -172,29 +174,31 @@
     #[test]
     fn what_was_written_is_there_at_the_next_start() {
         let path = directory("next");
-        let first = || Page::first(7);
+        let first = || PersistentState::first(7);
         let (store, mut page, _) = Store::open(&path, "kl", "n1", first).expect("opens");
         assert_eq!(page.node, 7);
-        page.life = 3;
+        page.incarnation = 3;
         let entries = (1..=5).map(|index| (index, vec![index as u8])).collect();
         let over = vec![(4, vec![44])];
         store
             .write(vec![
                 Change::Page(Box::new(page)),
-                Change::Log(Write::Hard(vec![9])),
+                Change::Log(Write::HardState(vec![9])),
                 Change::Log(Write::Entries(entries)),
                 Change::Log(Write::Entries(over)),
-                Change::Log(Write::Snapshot { index: 2, bytes: vec![2], whole: false }),
+                Change::Log(Write::Snapshot { index: 2, bytes: vec![2], replace_all: false }),
             ])
             .expect("written");
         drop(store);
-        let (store, page, kept) = Store::open(&path, "kl", "n1", || Page::first(8)).expect("opens again");
-        assert_eq!((page.node, page.life), (7, 3));
+        let (store, page, kept) =
+            Store::open(&path, "kl", "n1", || PersistentState::first(8)).expect("opens again");
+        assert_eq!((page.node, page.incarnation), (7, 3));
         assert_eq!((kept.hard, kept.snapshot, kept.entries), (vec![9], vec![2], vec![vec![3], vec![44]]));
-        let renewed = Change::Renew(Box::new(Page::first(9)), None);
+        let renewed = Change::Renew(Box::new(PersistentState::first(9)), None);
         store.write(vec![renewed]).expect("written");
         drop(store);
-        let (_, page, kept) = Store::open(&path, "kl", "n1", || Page::first(8)).expect("opens again");
+        let (_, page, kept) =
+            Store::open(&path, "kl", "n1", || PersistentState::first(8)).expect("opens again");
         assert_eq!((page.node, kept.hard.len(), kept.snapshot.len(), kept.entries.len()), (9, 0, 0, 0));
         let _ = std::fs::remove_dir_all(&path);
     }
@@ -202,11 +206,11 @@
     #[test]
     fn another_members_directory_is_refused() {
         let path = directory("other");
-        let (store, ..) = Store::open(&path, "kl", "n1", || Page::first(7)).expect("opens");
-        let twice = Store::open(&path, "kl", "n1", || Page::first(7));
+        let (store, ..) = Store::open(&path, "kl", "n1", || PersistentState::first(7)).expect("opens");
+        let twice = Store::open(&path, "kl", "n1", || PersistentState::first(7));
         assert!(matches!(twice, Err(StoreError::Unusable { .. })), "two processes share no directory");
         drop(store);
-        let other = Store::open(&path, "kl", "n2", || Page::first(8));
+        let other = Store::open(&path, "kl", "n2", || PersistentState::first(8));
         assert!(matches!(other, Err(StoreError::NotOurs { .. })));
         let _ = std::fs::remove_dir_all(&path);
     }
--- a/agent/src/ops/line.rs
+++ b/agent/src/ops/line.rs
@@ -3,7 +3,7 @@
 use steprelay_core::duty::State;
 
 use steprelay_copies::member::Figures as CopyFigures;
-use steprelay_fleet::node::Figures as FleetFigures;
+use steprelay_fleet::node::Metrics as FleetFigures;
 
 use crate::ports::Snapshot;
 
@@ -133,16 +133,16 @@
         ("dead", fleet.dead),
         ("voters", fleet.voters),
         ("has_leader", u64::from(fleet.leader.is_some())),
-        ("leads", u64::from(fleet.leads)),
-        ("council", fleet.foundation),
+        ("leads", u64::from(fleet.is_leader)),
+        ("council", fleet.group_number),
         ("term", fleet.term),
         ("index", fleet.index),
-        ("open", fleet.open),
-        ("out", fleet.out),
-        ("last_grant", fleet.last_grant),
+        ("open", fleet.open_requests),
+        ("out", fleet.machines_out),
+        ("last_grant", fleet.last_approval),
         ("fenced", fleet.fenced),
-        ("strange", fleet.strange),
-        ("slept_ms", fleet.slept_ms),
+        ("strange", fleet.unexpected_messages),
+        ("slept_ms", fleet.stalled_ms),
         ("unsent", fleet.unsent),
         ("octets", fleet.octets),
     ]
--- a/agent/src/ports/mod.rs
+++ b/agent/src/ports/mod.rs
@@ -19,7 +19,7 @@
     ClientId, Counts, LinkLoss, Peer, ReleaseCause, Request, ServerCounts, SetUp, Source, Verdict,
 };
 use steprelay_decisions::{CallId, Cause, Entry, ListKind, Micros, Report, ServerId};
-use steprelay_fleet::node::Figures as FleetFigures;
+use steprelay_fleet::node::Metrics as FleetFigures;
 use steprelay_settings::Site;
 use tokio::sync::{mpsc, oneshot};
 
--- a/fleet/src/agreed.rs
+++ b/fleet/src/cluster_state.rs
@@ -5,24 +5,24 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::words::MAJOR;
-use crate::work::{step, Event, Item, Kind, NotNow, State};
+use crate::maintenance::{transition, Event, InvalidTransition, MaintenanceRequest, State, TargetKind};
+use crate::messages::MAJOR;
 use crate::Millis;
 
 /// Requests that are not over, at most; a fleet's every machine has room.
-pub const MOST_OPEN: usize = 1024;
+pub const MAX_OPEN_REQUESTS: usize = 1024;
 /// Requests that are over stay to be looked at, so many of them.
-const MOST_OVER: usize = 64;
+const MAX_CLOSED_REQUESTS: usize = 64;
 /// Answers are remembered for so many commands, so that one said twice is done once.
-const MOST_ANSWERED: usize = 512;
+const MAX_RECORDED_OUTCOMES: usize = 512;
 /// Machines in the roster, at most.
-pub const MOST_MACHINES: usize = 1024;
+pub const MAX_ROSTER_ENTRIES: usize = 1024;
 /// Voters before that are remembered.
-const MOST_RETIRED: usize = 256;
+const MAX_RETIRED_IDS: usize = 256;
 /// Streams of copies that are written by successors, and those that are over and remembered, at most.
-const MOST_STREAMS: usize = 1024;
+const MAX_STREAMS: usize = 1024;
 /// Text of one request, at most.
-pub const LONGEST_TEXT: usize = 256;
+pub const MAX_TEXT_BYTES: usize = 256;
 
 /// Names one command: who made it (a number of its own for each start of a program) and its count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     pub id: CommandId,
     /// The leader's idea of fleet time; it only moves on.
     pub at_ms: Millis,
@@ -45,7 +45,7 @@
     /// Staff want work on a machine.
     Add {
         machine: String,
-        kind: Kind,
+        kind: TargetKind,
         zone: String,
         reason: String,
         for_ms: Millis,
@@ -64,15 +64,15 @@
         machine: String,
     },
     /// Of the leader, who decided by the state of work as it was at `basis`.
-    Grant {
+    Approve {
         machine: String,
-        basis: u64,
-        most_out: u32,
+        base_version: u64,
+        max_out: u32,
     },
     /// Of the machine itself, or of the leader for a check server, or of the leader who saw it gone or late.
-    About {
+    ReportEvent {
         machine: String,
-        grant: u64,
+        approval: u64,
         event: Event,
     },
     /// A machine was met; a known name with another zone moves, and one with another version was upgraded.
@@ -86,21 +86,21 @@
         name: String,
     },
     /// Fleet time moves on.
-    Clock,
+    AdvanceClock,
     /// Staff keep all grants back, with their reason; or let them go on. Since 1.1.
     Pause {
         reason: Option<String>,
     },
     /// Of the leader: a stream of copies whose writer is lost is written by another one from now on, in that
     /// start of its program. Since 1.2.
-    Succeed {
+    FailOver {
         stream: u64,
         epoch: u64,
         name: String,
         boot: u64,
     },
     /// Of a successor: all that the stream promised was kept. Since 1.2.
-    Settle {
+    CloseStream {
         stream: u64,
         epoch: u64,
     },
@@ -108,10 +108,10 @@
 
 impl Command {
     /// The minor version that knows this command first.
-    pub fn since(&self) -> u16 {
+    pub fn introduced_in(&self) -> u16 {
         match self {
             Command::Pause { .. } => 1,
-            Command::Succeed { .. } | Command::Settle { .. } => 2,
+            Command::FailOver { .. } | Command::CloseStream { .. } => 2,
             _ => 0,
         }
     }
@@ -119,7 +119,7 @@
 
 /// Who writes a stream of copies whose first writer is lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Authority {
+pub struct StreamOwner {
     pub name: String,
     pub boot: u64,
     /// Grows with each succession; 0 is the first writer's.
@@ -128,7 +128,7 @@
 
 /// A machine of the roster.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Machine {
+pub struct RosterEntry {
     pub zone: String,
     /// The minor version that it spoke last.
     pub minor: u16,
@@ -136,47 +136,47 @@
 
 /// Why a command was not carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
+pub enum Rejection {
     #[error("no machine of that name is known: {0}")]
     UnknownMachine(String),
     #[error("no work on {0} was asked for")]
-    NoWork(String),
+    NoRequest(String),
     #[error("work on {0} is asked for already, and is {1}")]
-    AskedAlready(String, String),
+    AlreadyRequested(String, String),
     #[error("work on {machine} is {state}: {why}")]
-    NotNow { machine: String, state: String, why: String },
+    InvalidTransition { machine: String, state: String, why: String },
     #[error("grant {told} of {machine} is not the present one, {present}")]
     Fenced { machine: String, told: u64, present: u64 },
-    #[error("decided by the state {basis}, and it is {version}")]
-    Stale { basis: u64, version: u64 },
+    #[error("decided by the state {base_version}, and it is {version}")]
+    StaleVersion { base_version: u64, version: u64 },
     #[error("{0} machines are out, and {1} may be")]
     TooManyOut(usize, u32),
     #[error("machines of zone {0} are out")]
     OtherZone(String),
     #[error("the council would lose its majority")]
-    Majority,
+    QuorumAtRisk,
     #[error("work on {0} comes first")]
-    After(String),
+    WaitsFor(String),
     #[error("{0} comes after itself")]
-    AfterItself(String),
+    CyclicDependency(String),
     #[error("{0} is alive, and cannot be forgotten")]
-    Alive(String),
+    StillAlive(String),
     #[error("all work is paused: {0}")]
     Paused(String),
     #[error("{0} speaks {MAJOR}.{1}, and this needs {MAJOR}.{2} everywhere")]
-    TooOld(String, u16, u16),
+    VersionTooOld(String, u16, u16),
     #[error("there are too many {0}")]
-    TooMany(String),
-    #[error("a text is longer than {LONGEST_TEXT}")]
-    TooLong,
+    LimitReached(String),
+    #[error("a text is longer than {MAX_TEXT_BYTES}")]
+    TextTooLong,
     /// No leader took it, or none that could answer in time: what became of it is not known.
     #[error("no majority of the council answers")]
-    NoMajority,
+    NoQuorum,
     #[error("{0}")]
-    Not(String),
+    NotAllowed(String),
 }
 
-pub type Outcome = Result<(), Refusal>;
+pub type Outcome = Result<(), Rejection>;
 
 /// A voting member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -187,56 +187,56 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct ClusterState {
     /// Changes of the state of work so far.
     pub version: u64,
     /// Fleet time: what leaders have measured by their monotonic clocks, added up. Wall clocks play no part.
     pub time_ms: Millis,
-    pub last_grant: u64,
+    pub last_approval: u64,
     /// By their numbers in the raft engine.
     pub voters: BTreeMap<u64, Voter>,
     /// Numbers that voted once and never do again: their disks are discarded or lost, the last of them.
     retired: VecDeque<u64>,
     /// All machines of call agents that were met and not forgotten.
-    pub roster: BTreeMap<String, Machine>,
+    pub roster: BTreeMap<String, RosterEntry>,
     /// Why staff keep all grants back, if they do.
     pub paused: Option<String>,
     /// The newest minor version of any command so far: whoever speaks an older one can't read the log.
-    pub spoken: u16,
+    pub required_minor: u16,
     /// Oldest first.
-    pub open: Vec<Item>,
-    pub over: VecDeque<Item>,
-    answered: VecDeque<(CommandId, Outcome)>,
+    pub open_requests: Vec<MaintenanceRequest>,
+    pub closed_requests: VecDeque<MaintenanceRequest>,
+    outcomes: VecDeque<(CommandId, Outcome)>,
     /// Streams of copies that successors write.
-    pub streams: BTreeMap<u64, Authority>,
+    pub stream_owners: BTreeMap<u64, StreamOwner>,
     /// Those that are over, the last of them.
-    pub settled: VecDeque<u64>,
+    pub closed_streams: VecDeque<u64>,
 }
 
-impl Agreed {
+impl ClusterState {
     /// By which epoch a stream is written; `None` once it is over.
     pub fn epoch(&self, stream: u64) -> Option<u64> {
-        let epoch = self.streams.get(&stream).map_or(0, |authority| authority.epoch);
-        (!self.settled.contains(&stream)).then_some(epoch)
+        let epoch = self.stream_owners.get(&stream).map_or(0, |authority| authority.epoch);
+        (!self.closed_streams.contains(&stream)).then_some(epoch)
     }
 
     /// The request about a machine that is not over.
-    pub fn item(&self, machine: &str) -> Option<&Item> {
-        self.open.iter().find(|item| item.machine == machine)
+    pub fn open_request(&self, machine: &str) -> Option<&MaintenanceRequest> {
+        self.open_requests.iter().find(|item| item.machine == machine)
     }
 
     /// Machines that count as out by what is agreed.
-    pub fn out(&self) -> impl Iterator<Item = &Item> {
-        self.open.iter().filter(|item| item.state.counts_as_out())
+    pub fn machines_out(&self) -> impl Iterator<Item = &MaintenanceRequest> {
+        self.open_requests.iter().filter(|item| item.state.counts_as_out())
     }
 
     /// The engine has other voters now; `added` tells of new ones.
-    pub fn voters_are(&mut self, ids: &[u64], added: Vec<(u64, Voter)>) {
+    pub fn set_voters(&mut self, ids: &[u64], added: Vec<(u64, Voter)>) {
         let before: Vec<u64> = self.voters.keys().copied().collect();
         self.voters.extend(added);
         self.voters.retain(|id, _| ids.contains(id));
         self.retired.extend(before.into_iter().filter(|id| !ids.contains(id)));
-        self.retired.drain(..self.retired.len().saturating_sub(MOST_RETIRED));
+        self.retired.drain(..self.retired.len().saturating_sub(MAX_RETIRED_IDS));
         self.version += 1;
     }
 
@@ -249,108 +249,113 @@
     ///
     /// # Errors
     /// One can't.
-    pub fn level(&self, command: &Command) -> Result<(), Refusal> {
-        let since = command.since();
-        match self.roster.iter().find(|(_, machine)| machine.minor < since) {
-            Some((name, machine)) => Err(Refusal::TooOld(name.clone(), machine.minor, since)),
+    pub fn check_supported(&self, command: &Command) -> Result<(), Rejection> {
+        let introduced_in = command.introduced_in();
+        match self.roster.iter().find(|(_, machine)| machine.minor < introduced_in) {
+            Some((name, machine)) => {
+                Err(Rejection::VersionTooOld(name.clone(), machine.minor, introduced_in))
+            }
             None => Ok(()),
         }
     }
 
     /// What became of a command, if it is remembered.
-    pub fn answer(&self, id: CommandId) -> Option<&Outcome> {
-        self.answered.iter().find(|(known, _)| *known == id).map(|(_, outcome)| outcome)
+    pub fn outcome_of(&self, id: CommandId) -> Option<&Outcome> {
+        self.outcomes.iter().find(|(known, _)| *known == id).map(|(_, outcome)| outcome)
     }
 
     /// Carries out one entry. One that was said before is not done again, and gets the same answer.
-    pub fn apply(&mut self, entry: &Entry) -> Outcome {
+    pub fn apply(&mut self, entry: &LogEntry) -> Outcome {
         self.time_ms = self.time_ms.max(entry.at_ms);
-        if let Some(outcome) = self.answer(entry.id) {
+        if let Some(outcome) = self.outcome_of(entry.id) {
             return outcome.clone();
         }
-        self.spoken = self.spoken.max(entry.command.since());
-        let outcome = self.carry_out(&entry.command);
-        if self.answered.len() >= MOST_ANSWERED {
-            self.answered.pop_front();
+        self.required_minor = self.required_minor.max(entry.command.introduced_in());
+        let outcome = self.execute(&entry.command);
+        if self.outcomes.len() >= MAX_RECORDED_OUTCOMES {
+            self.outcomes.pop_front();
         }
-        self.answered.push_back((entry.id, outcome.clone()));
+        self.outcomes.push_back((entry.id, outcome.clone()));
         outcome
     }
 
-    fn carry_out(&mut self, command: &Command) -> Outcome {
+    fn execute(&mut self, command: &Command) -> Outcome {
         match command {
-            Command::Clock => Ok(()),
+            Command::AdvanceClock => Ok(()),
             Command::Pause { reason } => {
-                if reason.as_deref().is_some_and(is_long) {
-                    return Err(Refusal::TooLong);
+                if reason.as_deref().is_some_and(is_too_long) {
+                    return Err(Rejection::TextTooLong);
                 }
                 self.paused.clone_from(reason);
                 self.version += 1;
                 Ok(())
             }
-            Command::Succeed { stream, epoch, name, boot } => {
+            Command::FailOver { stream, epoch, name, boot } => {
                 let present = self.epoch(*stream).unwrap_or(u64::MAX);
                 // Exactly one: whoever was decided on by an older epoch is none.
                 if present.checked_add(1) != Some(*epoch) {
                     let machine = format!("stream {stream:x}");
-                    return Err(Refusal::Fenced { machine, told: *epoch, present });
+                    return Err(Rejection::Fenced { machine, told: *epoch, present });
                 }
-                if self.streams.len() >= MOST_STREAMS && !self.streams.contains_key(stream) {
-                    return Err(Refusal::TooMany("successions".into()));
+                if self.stream_owners.len() >= MAX_STREAMS && !self.stream_owners.contains_key(stream) {
+                    return Err(Rejection::LimitReached("successions".into()));
                 }
-                let authority = Authority { name: name.clone(), boot: *boot, epoch: *epoch };
-                self.streams.insert(*stream, authority);
+                let authority = StreamOwner { name: name.clone(), boot: *boot, epoch: *epoch };
+                self.stream_owners.insert(*stream, authority);
                 self.version += 1;
                 Ok(())
             }
-            Command::Settle { stream, epoch } => {
+            Command::CloseStream { stream, epoch } => {
                 let present = self.epoch(*stream).unwrap_or(u64::MAX);
-                if present != *epoch || !self.streams.contains_key(stream) {
+                if present != *epoch || !self.stream_owners.contains_key(stream) {
                     let machine = format!("stream {stream:x}");
-                    return Err(Refusal::Fenced { machine, told: *epoch, present });
+                    return Err(Rejection::Fenced { machine, told: *epoch, present });
                 }
-                self.streams.remove(stream);
-                self.settled.push_back(*stream);
-                self.settled.drain(..self.settled.len().saturating_sub(MOST_STREAMS));
+                self.stream_owners.remove(stream);
+                self.closed_streams.push_back(*stream);
+                self.closed_streams.drain(..self.closed_streams.len().saturating_sub(MAX_STREAMS));
                 self.version += 1;
                 Ok(())
             }
             Command::Join { name, zone, minor } => {
-                if self.roster.len() >= MOST_MACHINES && !self.roster.contains_key(name) {
-                    return Err(Refusal::TooMany("machines".into()));
+                if self.roster.len() >= MAX_ROSTER_ENTRIES && !self.roster.contains_key(name) {
+                    return Err(Rejection::LimitReached("machines".into()));
                 }
-                self.roster.insert(name.clone(), Machine { zone: zone.clone(), minor: *minor });
+                self.roster.insert(name.clone(), RosterEntry { zone: zone.clone(), minor: *minor });
                 self.version += 1;
                 Ok(())
             }
             Command::Forget { name } => {
-                self.roster.remove(name).ok_or_else(|| Refusal::UnknownMachine(name.clone()))?;
+                self.roster.remove(name).ok_or_else(|| Rejection::UnknownMachine(name.clone()))?;
                 self.version += 1;
                 Ok(())
             }
             Command::Add { machine, kind, zone, reason, for_ms, after, within_ms } => {
                 self.add(machine, *kind, zone, reason, *for_ms, after, *within_ms)
             }
-            Command::Grant { machine, basis, most_out } => self.grant(machine, *basis, *most_out),
+            Command::Approve { machine, base_version, max_out } => {
+                self.approve(machine, *base_version, *max_out)
+            }
             Command::Extend { machine, more_ms } => {
-                self.step(machine, Event::Extend)?;
+                self.transition(machine, Event::Extend)?;
                 let time = self.time_ms;
-                if let Some(item) = self.open.iter_mut().find(|item| item.machine == *machine) {
+                if let Some(item) = self.open_requests.iter_mut().find(|item| item.machine == *machine) {
                     item.for_ms = item.for_ms.saturating_add(*more_ms);
-                    item.due_ms = item.due_ms.map(|due| due.max(time).saturating_add(*more_ms));
+                    item.due_at_ms = item.due_at_ms.map(|due| due.max(time).saturating_add(*more_ms));
                 }
                 Ok(())
             }
-            Command::Withdraw { machine } => self.step(machine, Event::Withdraw),
-            Command::Finish { machine } => self.step(machine, Event::Finish),
-            Command::About { machine, grant, event } => {
-                let present = self.item(machine).ok_or_else(|| Refusal::NoWork(machine.clone()))?.grant;
+            Command::Withdraw { machine } => self.transition(machine, Event::Withdraw),
+            Command::Finish { machine } => self.transition(machine, Event::Finish),
+            Command::ReportEvent { machine, approval, event } => {
+                let present =
+                    self.open_request(machine).ok_or_else(|| Rejection::NoRequest(machine.clone()))?.approval;
                 // The fence: a number that is not the present one is an older one.
-                if present != Some(*grant) {
+                if present != Some(*approval) {
                     let (machine, present) = (machine.clone(), present.unwrap_or(0));
-                    return Err(Refusal::Fenced { machine, told: *grant, present });
+                    return Err(Rejection::Fenced { machine, told: *approval, present });
                 }
-                self.step(machine, *event)
+                self.transition(machine, *event)
             }
         }
     }
@@ -359,51 +364,51 @@
     fn add(
         &mut self,
         machine: &str,
-        kind: Kind,
+        kind: TargetKind,
         zone: &str,
         reason: &str,
         for_ms: Millis,
         after: &[String],
         within_ms: Option<Millis>,
     ) -> Outcome {
-        if let Some(item) = self.item(machine) {
-            return Err(Refusal::AskedAlready(machine.into(), item.state.word().into()));
+        if let Some(item) = self.open_request(machine) {
+            return Err(Rejection::AlreadyRequested(machine.into(), item.state.as_str().into()));
         }
-        if kind == Kind::Agent && !self.roster.contains_key(machine) {
-            return Err(Refusal::UnknownMachine(machine.into()));
+        if kind == TargetKind::Agent && !self.roster.contains_key(machine) {
+            return Err(Rejection::UnknownMachine(machine.into()));
         }
-        if self.open.len() >= MOST_OPEN || after.len() > MOST_OPEN {
-            return Err(Refusal::TooMany("requests".into()));
+        if self.open_requests.len() >= MAX_OPEN_REQUESTS || after.len() > MAX_OPEN_REQUESTS {
+            return Err(Rejection::LimitReached("requests".into()));
         }
-        if [machine, zone, reason].into_iter().chain(after.iter().map(String::as_str)).any(is_long) {
-            return Err(Refusal::TooLong);
+        if [machine, zone, reason].into_iter().chain(after.iter().map(String::as_str)).any(is_too_long) {
+            return Err(Rejection::TextTooLong);
         }
-        if after.iter().any(|before| before == machine || self.comes_after(before, machine)) {
-            return Err(Refusal::AfterItself(machine.into()));
+        if after.iter().any(|before| before == machine || self.depends_on(before, machine)) {
+            return Err(Rejection::CyclicDependency(machine.into()));
         }
         let zone = self.roster.get(machine).map_or(zone, |known| &known.zone).to_string();
-        self.open.push(Item {
+        self.open_requests.push(MaintenanceRequest {
             machine: machine.into(),
             kind,
             zone,
             reason: reason.into(),
             for_ms,
-            asked_ms: self.time_ms,
-            until_ms: within_ms.map(|within| self.time_ms.saturating_add(within)),
+            requested_at_ms: self.time_ms,
+            expires_at_ms: within_ms.map(|within| self.time_ms.saturating_add(within)),
             after: after.to_vec(),
             state: State::Requested,
             drained: false,
-            grant: None,
-            since_ms: self.time_ms,
-            due_ms: None,
-            passed: 0,
+            approval: None,
+            state_since_ms: self.time_ms,
+            due_at_ms: None,
+            times_passed_over: 0,
         });
         self.version += 1;
         Ok(())
     }
 
     /// Whether `machine` waits for `other`, straight or by others.
-    fn comes_after(&self, machine: &str, other: &str) -> bool {
+    fn depends_on(&self, machine: &str, other: &str) -> bool {
         let mut looked = Vec::new();
         let mut look = vec![machine];
         while let Some(name) = look.pop() {
@@ -411,7 +416,7 @@
                 continue;
             }
             looked.push(name);
-            for before in self.item(name).into_iter().flat_map(|item| &item.after) {
+            for before in self.open_request(name).into_iter().flat_map(|item| &item.after) {
                 if before == other {
                     return true;
                 }
@@ -422,85 +427,88 @@
     }
 
     /// Whether all that a request comes after is over.
-    pub fn is_its_turn(&self, item: &Item) -> Result<(), Refusal> {
-        match item.after.iter().find(|before| self.item(before).is_some()) {
-            Some(before) => Err(Refusal::After(before.clone())),
+    pub fn check_dependencies(&self, item: &MaintenanceRequest) -> Result<(), Rejection> {
+        match item.after.iter().find(|before| self.open_request(before).is_some()) {
+            Some(before) => Err(Rejection::WaitsFor(before.clone())),
             None => Ok(()),
         }
     }
 
     /// What the log itself holds to, whoever leads: nothing while staff say so, never more than `most_out`,
     /// never two zones, never the majority of the council.
-    pub fn bounds(&self, machine: &str, most_out: u32) -> Result<(), Refusal> {
-        let item = self.item(machine).ok_or_else(|| Refusal::NoWork(machine.into()))?;
-        self.is_its_turn(item)?;
+    pub fn check_limits(&self, machine: &str, max_out: u32) -> Result<(), Rejection> {
+        let item = self.open_request(machine).ok_or_else(|| Rejection::NoRequest(machine.into()))?;
+        self.check_dependencies(item)?;
         if let Some(reason) = &self.paused {
-            return Err(Refusal::Paused(reason.clone()));
+            return Err(Rejection::Paused(reason.clone()));
         }
-        let out: Vec<&Item> = self.out().filter(|other| other.machine != machine).collect();
-        if out.len() >= most_out as usize {
-            return Err(Refusal::TooManyOut(out.len(), most_out));
+        let out: Vec<&MaintenanceRequest> =
+            self.machines_out().filter(|other| other.machine != machine).collect();
+        if out.len() >= max_out as usize {
+            return Err(Rejection::TooManyOut(out.len(), max_out));
         }
-        if item.kind == Kind::Agent {
-            let other = out.iter().find(|other| other.kind == Kind::Agent && other.zone != item.zone);
+        if item.kind == TargetKind::Agent {
+            let other = out.iter().find(|other| other.kind == TargetKind::Agent && other.zone != item.zone);
             if let Some(other) = other {
-                return Err(Refusal::OtherZone(other.zone.clone()));
+                return Err(Rejection::OtherZone(other.zone.clone()));
             }
             let left = self.voters.values().filter(|voter| {
                 voter.name != machine && !out.iter().any(|other| other.machine == voter.name)
             });
             let votes = self.voters.values().any(|voter| voter.name == machine);
             if votes && 2 * left.count() <= self.voters.len() {
-                return Err(Refusal::Majority);
+                return Err(Rejection::QuorumAtRisk);
             }
         }
         Ok(())
     }
 
-    fn grant(&mut self, machine: &str, basis: u64, most_out: u32) -> Outcome {
+    fn approve(&mut self, machine: &str, base_version: u64, max_out: u32) -> Outcome {
         // Whoever decided by another state than this one may have missed a grant.
-        if basis != self.version {
-            return Err(Refusal::Stale { basis, version: self.version });
+        if base_version != self.version {
+            return Err(Rejection::StaleVersion { base_version, version: self.version });
         }
-        self.bounds(machine, most_out)?;
+        self.check_limits(machine, max_out)?;
         let waiting: Vec<String> = self
-            .open
+            .open_requests
             .iter()
             .filter(|item| item.state == State::Requested && item.machine != machine)
-            .filter(|item| self.is_its_turn(item).is_ok())
+            .filter(|item| self.check_dependencies(item).is_ok())
             .map(|item| item.machine.clone())
             .collect();
-        self.step(machine, Event::Grant)?;
-        for item in self.open.iter_mut().filter(|item| waiting.contains(&item.machine)) {
-            item.passed += 1;
+        self.transition(machine, Event::Approve)?;
+        for item in self.open_requests.iter_mut().filter(|item| waiting.contains(&item.machine)) {
+            item.times_passed_over += 1;
         }
         Ok(())
     }
 
-    fn step(&mut self, machine: &str, event: Event) -> Outcome {
-        let (time, number) = (self.time_ms, self.last_grant + 1);
-        let place = self.open.iter().position(|item| item.machine == machine);
-        let place = place.ok_or_else(|| Refusal::NoWork(machine.into()))?;
-        let item = &mut self.open[place];
-        let next = step(item.state, item.drained, event).map_err(|why: NotNow| Refusal::NotNow {
-            machine: machine.into(),
-            state: item.state.word().into(),
-            why: why.to_string(),
+    fn transition(&mut self, machine: &str, event: Event) -> Outcome {
+        let (time, number) = (self.time_ms, self.last_approval + 1);
+        let place = self.open_requests.iter().position(|item| item.machine == machine);
+        let place = place.ok_or_else(|| Rejection::NoRequest(machine.into()))?;
+        let item = &mut self.open_requests[place];
+        let next = transition(item.state, item.drained, event).map_err(|why: InvalidTransition| {
+            Rejection::InvalidTransition {
+                machine: machine.into(),
+                state: item.state.as_str().into(),
+                why: why.to_string(),
+            }
         })?;
         let drained = item.drained || event == Event::Drained;
         if next == item.state && drained == item.drained {
             return Ok(());
         }
         if next != item.state {
-            item.since_ms = time;
+            item.state_since_ms = time;
         }
         match next {
-            State::Granted => {
-                item.grant = Some(number);
-                self.last_grant = number;
+            State::Approved => {
+                item.approval = Some(number);
+                self.last_approval = number;
             }
             State::Draining if event == Event::Begin => {
-                item.due_ms = Some(time.saturating_add(item.for_ms));
+                item.due_at_ms = Some(time.saturating_add(item.for_ms));
             }
             State::Requested => item.drained = false,
             _ => {}
@@ -508,16 +516,16 @@
         (item.state, item.drained) = (next, drained);
         self.version += 1;
         if next.is_over() {
-            let item = self.open.remove(place);
-            if self.over.len() >= MOST_OVER {
-                self.over.pop_front();
+            let item = self.open_requests.remove(place);
+            if self.closed_requests.len() >= MAX_CLOSED_REQUESTS {
+                self.closed_requests.pop_front();
             }
-            self.over.push_back(item);
+            self.closed_requests.push_back(item);
         }
         Ok(())
     }
 }
 
-fn is_long(text: &str) -> bool {
-    text.len() > LONGEST_TEXT
+fn is_too_long(text: &str) -> bool {
+    text.len() > MAX_TEXT_BYTES
 }
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -13,20 +13,20 @@
 //! A machine leaves only by what is agreed, asked for afresh at the moment of leaving ([`node`]).
 //!
 //! ```
-//! use steprelay_fleet::work::{step, Event, State};
+//! use steprelay_fleet::work::{transition, Event, State};
 //!
-//! let granted = step(State::Requested, false, Event::Grant).unwrap();
-//! assert_eq!(granted, State::Granted);
-//! assert!(step(granted, false, Event::Drained).is_err(), "nobody is out without having begun");
+//! let approved = transition(State::Requested, false, Event::Approve).unwrap();
+//! assert_eq!(approved, State::Approved);
+//! assert!(transition(approved, false, Event::Drained).is_err(), "only a draining machine reports this");
 //! ```
 
-pub mod agreed;
-pub mod council;
+pub mod cluster_state;
+pub mod consensus;
+pub mod maintenance;
+pub mod messages;
 pub mod node;
-pub mod order;
+pub mod scheduler;
 pub mod swim;
-pub mod words;
-pub mod work;
 
 /// Milliseconds of a monotonic clock, from any start.
 pub type Millis = u64;
--- a/fleet/src/work.rs
+++ b/fleet/src/maintenance.rs
@@ -12,7 +12,7 @@
     /// Staff have asked.
     Requested,
     /// The machine may go, and has not begun to.
-    Granted,
+    Approved,
     /// It takes no new work.
     Draining,
     /// Nothing stands there any more.
@@ -30,7 +30,7 @@
 impl State {
     pub const ALL: [State; 9] = [
         State::Requested,
-        State::Granted,
+        State::Approved,
         State::Draining,
         State::Out,
         State::Returning,
@@ -41,10 +41,10 @@
     ];
 
     /// The word that staff's scripts read.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             State::Requested => "requested",
-            State::Granted => "granted",
+            State::Approved => "granted",
             State::Draining => "draining",
             State::Out => "out",
             State::Returning => "returning",
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Event {
     /// The council lets the machine go.
-    Grant,
+    Approve,
     /// The machine asks whether it may leave now.
     Begin,
     /// The machine says that nothing stands there.
@@ -80,11 +80,11 @@
     /// Staff give it more time.
     Extend,
     /// The machine says that it serves again.
-    Back,
+    Returned,
     /// Its time is over.
-    Late,
+    DeadlinePassed,
     /// The machine is lost.
-    Gone,
+    MachineLost,
     /// It was granted and has not begun.
     Lapse,
     /// The moment has passed until when it was wanted.
@@ -93,15 +93,15 @@
 
 impl Event {
     pub const ALL: [Event; 11] = [
-        Event::Grant,
+        Event::Approve,
         Event::Begin,
         Event::Drained,
         Event::Finish,
         Event::Withdraw,
         Event::Extend,
-        Event::Back,
-        Event::Late,
-        Event::Gone,
+        Event::Returned,
+        Event::DeadlinePassed,
+        Event::MachineLost,
         Event::Lapse,
         Event::Expire,
     ];
@@ -109,83 +109,87 @@
 
 /// Why an event is not for a state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum NotNow {
+pub enum InvalidTransition {
     #[error("it is not granted")]
-    NotGranted,
+    NotApproved,
     #[error("it is granted already")]
-    Granted,
+    AlreadyApproved,
     #[error("the machine has not left yet; withdraw it instead")]
-    NotOut,
+    MachineStillIn,
     #[error("the machine is not on its way back")]
     NotReturning,
     #[error("it is over")]
-    Over,
+    Closed,
     #[error("that time has not come")]
-    NoMatter,
+    NotApplicable,
 }
 
 /// What an event makes of a state. `drained`: it was out, before it became overdue.
 ///
 /// # Errors
 /// The event is not for this state, and changes nothing.
-pub fn step(state: State, drained: bool, event: Event) -> Result<State, NotNow> {
+pub fn transition(state: State, drained: bool, event: Event) -> Result<State, InvalidTransition> {
     use Event as E;
     use State as S;
     let after_all = if drained { S::Out } else { S::Draining };
     match (state, event) {
-        (S::Done | S::Withdrawn, _) => Err(NotNow::Over),
+        (S::Done | S::Withdrawn, _) => Err(InvalidTransition::Closed),
 
-        (S::Requested, E::Grant) => Ok(S::Granted),
+        (S::Requested, E::Approve) => Ok(S::Approved),
         (S::Requested, E::Withdraw | E::Expire) => Ok(S::Withdrawn),
         (S::Requested, E::Extend) => Ok(S::Requested),
-        (S::Requested, E::Begin | E::Drained | E::Back) => Err(NotNow::NotGranted),
-        (S::Requested, E::Finish) => Err(NotNow::NotOut),
-        (S::Requested, E::Late | E::Gone | E::Lapse) => Err(NotNow::NoMatter),
+        (S::Requested, E::Begin | E::Drained | E::Returned) => Err(InvalidTransition::NotApproved),
+        (S::Requested, E::Finish) => Err(InvalidTransition::MachineStillIn),
+        (S::Requested, E::DeadlinePassed | E::MachineLost | E::Lapse) => {
+            Err(InvalidTransition::NotApplicable)
+        }
 
-        (_, E::Grant) => Err(NotNow::Granted),
+        (_, E::Approve) => Err(InvalidTransition::AlreadyApproved),
 
-        (S::Granted, E::Begin) => Ok(S::Draining),
-        (S::Granted, E::Withdraw | E::Expire) => Ok(S::Withdrawn),
-        (S::Granted, E::Lapse | E::Gone) => Ok(S::Requested),
-        (S::Granted, E::Extend) => Ok(S::Granted),
-        (S::Granted, E::Drained | E::Finish) => Err(NotNow::NotOut),
-        (S::Granted, E::Back) => Err(NotNow::NotReturning),
-        (S::Granted, E::Late) => Err(NotNow::NoMatter),
+        (S::Approved, E::Begin) => Ok(S::Draining),
+        (S::Approved, E::Withdraw | E::Expire) => Ok(S::Withdrawn),
+        (S::Approved, E::Lapse | E::MachineLost) => Ok(S::Requested),
+        (S::Approved, E::Extend) => Ok(S::Approved),
+        (S::Approved, E::Drained | E::Finish) => Err(InvalidTransition::MachineStillIn),
+        (S::Approved, E::Returned) => Err(InvalidTransition::NotReturning),
+        (S::Approved, E::DeadlinePassed) => Err(InvalidTransition::NotApplicable),
 
         // Asked again, since the answer may have been lost: it may go, and is counted as out.
         (S::Draining | S::Out | S::Overdue, E::Begin) => Ok(state),
         (S::Draining | S::Out, E::Drained) => Ok(S::Out),
         (S::Overdue, E::Drained) => Ok(S::Overdue),
-        (S::Draining | S::Out, E::Late) => Ok(S::Overdue),
-        (S::Draining, E::Gone) => Ok(S::Lost),
-        (S::Overdue, E::Gone) if !drained => Ok(S::Lost),
+        (S::Draining | S::Out, E::DeadlinePassed) => Ok(S::Overdue),
+        (S::Draining, E::MachineLost) => Ok(S::Lost),
+        (S::Overdue, E::MachineLost) if !drained => Ok(S::Lost),
         // A machine under work is expected to be away.
-        (S::Out | S::Overdue, E::Gone) => Err(NotNow::NoMatter),
+        (S::Out | S::Overdue, E::MachineLost) => Err(InvalidTransition::NotApplicable),
         (S::Draining | S::Out | S::Overdue, E::Extend) => Ok(after_all),
         (S::Draining | S::Out | S::Overdue, E::Finish | E::Withdraw) => Ok(S::Returning),
-        (S::Draining | S::Out | S::Overdue, E::Back) => Err(NotNow::NotReturning),
-        (S::Overdue, E::Late) => Err(NotNow::NoMatter),
+        (S::Draining | S::Out | S::Overdue, E::Returned) => Err(InvalidTransition::NotReturning),
+        (S::Overdue, E::DeadlinePassed) => Err(InvalidTransition::NotApplicable),
 
-        (S::Returning, E::Back) => Ok(S::Done),
-        (S::Returning, E::Gone) => Ok(S::Lost),
+        (S::Returning, E::Returned) => Ok(S::Done),
+        (S::Returning, E::MachineLost) => Ok(S::Lost),
         (S::Returning, E::Finish | E::Withdraw) => Ok(S::Returning),
-        (S::Returning, E::Begin) => Err(NotNow::NotGranted),
-        (S::Returning, E::Drained | E::Extend | E::Late) => Err(NotNow::NoMatter),
+        (S::Returning, E::Begin) => Err(InvalidTransition::NotApproved),
+        (S::Returning, E::Drained | E::Extend | E::DeadlinePassed) => Err(InvalidTransition::NotApplicable),
 
-        (S::Lost, E::Back) => Ok(S::Done),
+        (S::Lost, E::Returned) => Ok(S::Done),
         (S::Lost, E::Finish) => Ok(S::Returning),
         // Staff say that it is lost for good.
         (S::Lost, E::Withdraw) => Ok(S::Withdrawn),
-        (S::Lost, E::Begin) => Err(NotNow::NotGranted),
-        (S::Lost, E::Drained | E::Extend | E::Late | E::Gone) => Err(NotNow::NoMatter),
+        (S::Lost, E::Begin) => Err(InvalidTransition::NotApproved),
+        (S::Lost, E::Drained | E::Extend | E::DeadlinePassed | E::MachineLost) => {
+            Err(InvalidTransition::NotApplicable)
+        }
 
-        (_, E::Lapse | E::Expire) => Err(NotNow::NoMatter),
+        (_, E::Lapse | E::Expire) => Err(InvalidTransition::NotApplicable),
     }
 }
 
 /// What kind of machine is worked on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum TargetKind {
     /// A call agent's.
     Agent,
     /// A check server, by its number.
@@ -194,28 +198,28 @@
 
 /// A request for work, and what became of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Item {
+pub struct MaintenanceRequest {
     pub machine: String,
-    pub kind: Kind,
+    pub kind: TargetKind,
     /// Of a call agent's machine; empty for a check server.
     pub zone: String,
     pub reason: String,
     /// How long it may be out.
     pub for_ms: Millis,
     /// Fleet time at which it was asked for; until when it is wanted.
-    pub asked_ms: Millis,
-    pub until_ms: Option<Millis>,
+    pub requested_at_ms: Millis,
+    pub expires_at_ms: Option<Millis>,
     /// Machines whose work must be over before.
     pub after: Vec<String>,
     pub state: State,
     pub drained: bool,
     /// The number of the present or last grant: it only grows over the whole log.
-    pub grant: Option<u64>,
+    pub approval: Option<u64>,
     /// Fleet time at which the present state began, and at which it is overdue.
-    pub since_ms: Millis,
-    pub due_ms: Option<Millis>,
+    pub state_since_ms: Millis,
+    pub due_at_ms: Option<Millis>,
     /// Grants that went to others while this one could have had one.
-    pub passed: u32,
+    pub times_passed_over: u32,
 }
 
 #[cfg(test)]
@@ -228,12 +232,12 @@
         for state in State::ALL {
             for drained in [false, true] {
                 for event in Event::ALL {
-                    let next = match step(state, drained, event) {
-                        Ok(next) => next.word().to_string(),
+                    let next = match transition(state, drained, event) {
+                        Ok(next) => next.as_str().to_string(),
                         Err(why) => format!("- {why}"),
                     };
                     let drained = if drained { "+drained" } else { "" };
-                    table.push_str(&format!("{}{drained} {event:?}: {next}\n", state.word()));
+                    table.push_str(&format!("{}{drained} {event:?}: {next}\n", state.as_str()));
                 }
             }
         }
@@ -245,10 +249,11 @@
     #[test]
     fn only_the_machine_ends_its_being_out() {
         for state in State::ALL.into_iter().filter(|state| state.counts_as_out()) {
-            for event in Event::ALL.into_iter().filter(|event| *event != Event::Back) {
+            for event in Event::ALL.into_iter().filter(|event| *event != Event::Returned) {
                 for drained in [false, true] {
-                    let Ok(next) = step(state, drained, event) else { continue };
-                    let may_end = state == State::Granted || (state, event) == (State::Lost, Event::Withdraw);
+                    let Ok(next) = transition(state, drained, event) else { continue };
+                    let may_end =
+                        state == State::Approved || (state, event) == (State::Lost, Event::Withdraw);
                     assert!(next.counts_as_out() || may_end, "{state:?} {event:?} gives {next:?}");
                 }
             }
--- a/fleet/src/words.rs
+++ b/fleet/src/messages.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::agreed::{Command, CommandId, Outcome};
+use crate::cluster_state::{Command, CommandId, Outcome};
 use crate::swim::Member;
 use crate::Millis;
 
@@ -14,13 +14,13 @@
 pub const MINOR: u16 = 2;
 /// Names one council from its founding on: its number grows with each refounding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Foundation {
+pub struct GroupId {
     pub number: u64,
     /// Of the member that founded it, so that two of one number differ.
     pub founder: u64,
 }
 
-impl Foundation {
+impl GroupId {
     /// Whether there is one.
     pub fn is_some(self) -> bool {
         self.number > 0
@@ -32,7 +32,7 @@
     pub cluster: String,
     pub from: Member,
     /// The council that the sender knows of.
-    pub foundation: Foundation,
+    pub group_id: GroupId,
     pub payload: Payload,
     /// The minor version that the sender speaks. The front says it ahead of the rest, so that one that speaks
     /// another is understood as far as it goes.
@@ -48,85 +48,85 @@
     /// was last seen (and not an older copy). It is `about` a disk in one start; the first one is answered
     /// by another, `back`.
     Welcome {
-        about: (u64, u64),
-        life: u64,
-        fresh: bool,
-        back: bool,
+        recipient: (u64, u64),
+        incarnation: u64,
+        disk_is_current: bool,
+        is_reply: bool,
     },
     /// No link, and why. It is closed after this.
-    Refused(String),
+    Rejected(String),
     Gossip(Vec<u8>),
     /// Between voters.
     Raft(Vec<u8>),
     /// How the sender is, and which state of what is agreed it has.
-    Follow {
-        known: u64,
+    StatusReport {
+        known_index: u64,
         status: Status,
     },
     /// What is agreed, where it is newer than what the other has, and who leads.
-    State {
+    StateUpdate {
         index: u64,
         leader: Option<String>,
-        agreed: Option<Vec<u8>>,
+        cluster_state: Option<Vec<u8>>,
     },
-    Ask {
+    Request {
         id: CommandId,
-        ask: Ask,
+        request: LeaderRequest,
     },
-    Told {
+    Response {
         id: CommandId,
-        told: Told,
+        response: LeaderResponse,
     },
     /// The sender is about to end in order.
     Leaving,
     /// To the leader: the sender wants its lease renewed, by its own clock at `asked`, for the streams that
     /// it writes; and what it holds for others.
-    Renew {
-        asked: Millis,
-        writes: Vec<Written>,
-        holds: Vec<Held>,
+    RenewLease {
+        requested_at: Millis,
+        owned_streams: Vec<StreamEpoch>,
+        held_replicas: Vec<HeldReplica>,
     },
     /// The leader's word that all of them are still the sender's to write, in that start of its program: one
     /// that comes late must not count for the next.
-    Renewed {
+    LeaseRenewed {
         boot: u64,
-        asked: Millis,
+        requested_at: Millis,
     },
     /// Between those that write and hold copies; the front knows how to read it.
-    Copies(Vec<u8>),
+    Replication(Vec<u8>),
 }
 
 /// A stream of copies, and the epoch by which it is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written {
+pub struct StreamEpoch {
     pub stream: u64,
     pub epoch: u64,
 }
 
 /// What a member holds of a stream that another writes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
-    pub written: Written,
+pub struct HeldReplica {
+    pub stream: StreamEpoch,
     /// Who wrote it last, in which start of its program.
-    pub writer: String,
-    pub boot: u64,
-    pub number: u64,
+    pub primary: String,
+    pub primary_boot: u64,
+    pub sequence: u64,
 }
 
 /// Of members, and of staff by way of members, to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
-    Do(Command),
+pub enum LeaderRequest {
+    Execute(Command),
     /// Why a machine has not been granted its work yet.
     Explain(String),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum LeaderResponse {
     Outcome(Outcome),
     Text(String),
     /// Ask this one, or anybody else.
-    NotLeading(Option<String>),
+    NotLeader(Option<String>),
 }
 
 /// How a call agent is, as it sees itself. Rates are in thousandths a second.
--- a/fleet/src/node/commands.rs
+++ b/fleet/src/node/commands.rs
@@ -4,28 +4,28 @@
 use super::*;
 
 /// Statuses go to the leader so often in a small fleet; and this longer for each member.
-const FOLLOW: Millis = 250;
-const FOLLOW_MEMBER: Millis = 10;
+const STATUS_INTERVAL: Millis = 250;
+const STATUS_INTERVAL_PER_MEMBER: Millis = 10;
 /// A command is said again to whoever leads after this, and given up after that.
-const ASK_AGAIN: Millis = 500;
-const ASK_FOR: Millis = 8_000;
-const MOST_PROPOSING: usize = 1024;
+const REQUEST_RETRY: Millis = 500;
+const REQUEST_TIMEOUT: Millis = 8_000;
+const MAX_PENDING_PROPOSALS: usize = 1024;
 
 impl Node {
-    pub(super) fn follow_every(&self) -> Millis {
-        FOLLOW.max(FOLLOW_MEMBER * (self.peers.len() as Millis + 1))
+    pub(super) fn status_interval(&self) -> Millis {
+        STATUS_INTERVAL.max(STATUS_INTERVAL_PER_MEMBER * (self.peers.len() as Millis + 1))
     }
 
     /// A status is fresh up to this age.
-    pub(super) fn fresh(&self) -> Millis {
-        3 * self.follow_every() + 500
+    pub(super) fn max_status_age(&self) -> Millis {
+        3 * self.status_interval() + 500
     }
 
-    pub(super) fn follow(&mut self, now: Millis) {
-        if now < self.followed + self.follow_every() || self.leads() {
+    pub(super) fn send_status(&mut self, now: Millis) {
+        if now < self.last_status_sent + self.status_interval() || self.is_leader() {
             return;
         }
-        self.followed = now;
+        self.last_status_sent = now;
         let known = self.leader_name().and_then(|name| self.peers.get(&name));
         let known = known.filter(|peer| peer.health == Health::Alive).map(|peer| peer.member.address);
         let to = known.or_else(|| {
@@ -35,183 +35,192 @@
             (!others.is_empty()).then(|| others[self.next_peer % others.len()])
         });
         if let Some(to) = to {
-            let (known, status) = (self.page.index, self.own.clone());
-            self.send(to, Payload::Follow { known, status });
+            let (known_index, status) = (self.persistent.index, self.own.clone());
+            self.send(to, Payload::StatusReport { known_index, status });
         }
     }
 
-    pub(super) fn state(
+    pub(super) fn handle_state_update(
         &mut self,
         now: Millis,
         from: &Member,
         index: u64,
         leader: Option<String>,
-        agreed: Option<Vec<u8>>,
+        cluster_state: Option<Vec<u8>>,
     ) {
-        let agreed: Option<Agreed> = agreed.and_then(|bytes| postcard::from_bytes(&bytes).ok());
-        if self.council.as_ref().is_some_and(Council::votes) {
+        let cluster_state: Option<ClusterState> =
+            cluster_state.and_then(|bytes| postcard::from_bytes(&bytes).ok());
+        if self.consensus.as_ref().is_some_and(Consensus::is_voter) {
             // A voter hears of it by the log; but one that was replaced while it heard nothing never does.
-            let gone = agreed.is_some_and(|agreed| !agreed.voters.contains_key(&self.page.node));
-            if gone && index > self.page.index {
-                self.reborn(now, 0, "the council went on without this member");
+            let gone = cluster_state
+                .is_some_and(|cluster_state| !cluster_state.voters.contains_key(&self.persistent.node));
+            if gone && index > self.persistent.index {
+                self.reset_identity(now, 0, "the council went on without this member");
             }
             return;
         }
         if leader.is_some() {
-            // Where to ask, whoever says so; but only a voter knows that there is one.
-            if self.page.agreed.voters.contains_key(&from.node) {
-                self.leader_heard = now;
+            // Where to request, whoever says so; but only a voter knows that there is one.
+            if self.persistent.cluster_state.voters.contains_key(&from.node) {
+                self.leader_seen_at = now;
             }
             self.leader = leader;
         }
-        if now > self.leader_heard + LEADERLESS {
+        if now > self.leader_seen_at + LEADER_TIMEOUT {
             self.leader = None;
         }
-        if index > self.page.index {
-            if let Some(agreed) = agreed {
-                (self.page.agreed, self.page.index) = (agreed, index);
-                self.settle_asks();
+        if index > self.persistent.index {
+            if let Some(cluster_state) = cluster_state {
+                (self.persistent.cluster_state, self.persistent.index) = (cluster_state, index);
+                self.resolve_requests();
             }
         }
     }
 
     /// Says what is under way again where nobody answered, and gives up in time.
-    pub(super) fn ask_on(&mut self, now: Millis) {
+    pub(super) fn retry_requests(&mut self, now: Millis) {
         let due: Vec<CommandId> = self
-            .asks
+            .pending_requests
             .iter()
-            .filter(|(_, asked)| asked.sent.is_none_or(|sent| now >= sent + ASK_AGAIN))
+            .filter(|(_, pending)| pending.sent.is_none_or(|sent| now >= sent + REQUEST_RETRY))
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            let Some(asked) = self.asks.get_mut(&id) else { continue };
-            if now >= asked.since + ASK_FOR {
-                self.asks.remove(&id);
-                let told = Told::Outcome(Err(Refusal::NoMajority));
-                self.effects.push(Effect::Told { id, told });
+            let Some(pending) = self.pending_requests.get_mut(&id) else { continue };
+            if now >= pending.since + REQUEST_TIMEOUT {
+                self.pending_requests.remove(&id);
+                let response = LeaderResponse::Outcome(Err(Rejection::NoQuorum));
+                self.effects.push(Effect::Response { id, response });
                 continue;
             }
-            asked.sent = Some(now);
-            let ask = asked.ask.clone();
-            if self.leads() {
-                self.asked(id, ask, Asker::Here);
+            pending.sent = Some(now);
+            let request = pending.request.clone();
+            if self.is_leader() {
+                self.handle_request(id, request, Requester::Local);
                 continue;
             }
             let leader = self.leader_name().and_then(|name| self.peers.get(&name));
             if let Some(to) = leader.map(|peer| peer.member.address) {
-                self.send(to, Payload::Ask { id, ask });
+                self.send(to, Payload::Request { id, request });
             }
         }
-        self.turn_council(now);
+        self.process_consensus(now);
     }
 
     /// Somebody asks this member as the leader.
-    pub(super) fn asked(&mut self, id: CommandId, ask: Ask, asker: Asker) {
-        if !self.leads() {
-            return self.answer(id, Told::NotLeading(self.leader_name()), asker);
-        }
-        match ask {
-            Ask::Explain(machine) => {
-                let (sight, limits) = (self.sight(self.ticked), &self.setup.limits);
-                let text = order::explain(&self.page.agreed, &sight, limits, &machine);
-                self.answer(id, Told::Text(text), asker);
+    pub(super) fn handle_request(&mut self, id: CommandId, request: LeaderRequest, requester: Requester) {
+        if !self.is_leader() {
+            return self.respond(id, LeaderResponse::NotLeader(self.leader_name()), requester);
+        }
+        match request {
+            LeaderRequest::Explain(machine) => {
+                let (cluster_view, limits) = (self.cluster_view(self.last_tick), &self.config.limits);
+                let text =
+                    scheduler::explain(&self.persistent.cluster_state, &cluster_view, limits, &machine);
+                self.respond(id, LeaderResponse::Text(text), requester);
             }
-            Ask::Do(command) => {
-                if let Some(outcome) = self.page.agreed.answer(id) {
-                    let told = Told::Outcome(outcome.clone());
-                    return self.answer(id, told, asker);
+            LeaderRequest::Execute(command) => {
+                if let Some(outcome) = self.persistent.cluster_state.outcome_of(id) {
+                    let response = LeaderResponse::Outcome(outcome.clone());
+                    return self.respond(id, response, requester);
                 }
-                if let Err(refusal) = self.allowed(&command) {
-                    return self.answer(id, Told::Outcome(Err(refusal)), asker);
+                if let Err(refusal) = self.check_allowed(&command) {
+                    return self.respond(id, LeaderResponse::Outcome(Err(refusal)), requester);
                 }
-                if self.proposing.len() >= MOST_PROPOSING {
-                    self.proposing.pop_first();
+                if self.pending_proposals.len() >= MAX_PENDING_PROPOSALS {
+                    self.pending_proposals.pop_first();
                 }
-                self.proposing.insert(id, asker);
+                self.pending_proposals.insert(id, requester);
                 self.propose(id, command);
             }
         }
     }
 
-    /// What the leader refuses by what it is told, before the log sees it.
-    pub(super) fn allowed(&self, command: &Command) -> Result<(), Refusal> {
-        self.page.agreed.level(command)?;
+    /// What the leader refuses by what it is response, before the log sees it.
+    pub(super) fn check_allowed(&self, command: &Command) -> Result<(), Rejection> {
+        self.persistent.cluster_state.check_supported(command)?;
         match command {
             Command::Forget { name } => {
                 let alive = |peer: &Peer| matches!(peer.health, Health::Alive | Health::Suspect);
                 if *name == self.me().name || self.peers.get(name).is_some_and(alive) {
-                    return Err(Refusal::Alive(name.clone()));
+                    return Err(Rejection::StillAlive(name.clone()));
                 }
                 Ok(())
             }
-            Command::Add { machine, kind: Kind::Server(number), .. } => {
+            Command::Add { machine, kind: TargetKind::Server(number), .. } => {
                 let lists = |status: &Status| status.classes.iter().any(|class| class.contains(number));
-                let told = self.peers.values().filter_map(|peer| peer.status.as_ref());
-                if lists(&self.own) || told.into_iter().any(|(status, _)| lists(status)) {
+                let response = self.peers.values().filter_map(|peer| peer.status.as_ref());
+                if lists(&self.own) || response.into_iter().any(|(status, _)| lists(status)) {
                     return Ok(());
                 }
-                Err(Refusal::UnknownMachine(machine.clone()))
+                Err(Rejection::UnknownMachine(machine.clone()))
             }
             // These are the leader's own.
-            Command::Grant { .. } | Command::Clock | Command::Join { .. } | Command::Succeed { .. } => {
-                Err(Refusal::Not("only the council says that".into()))
-            }
+            Command::Approve { .. }
+            | Command::AdvanceClock
+            | Command::Join { .. }
+            | Command::FailOver { .. } => Err(Rejection::NotAllowed("only the council says that".into())),
             _ => Ok(()),
         }
     }
 
     pub(super) fn propose(&mut self, id: CommandId, command: Command) {
-        let now = self.ticked;
-        let at_ms = self
-            .lead
-            .as_ref()
-            .map_or(self.page.agreed.time_ms, |lead| lead.time_ms + now.saturating_sub(lead.since));
-        let entry = Entry { id, at_ms, command };
-        if let Some(council) = &mut self.council {
-            council.propose(postcard::to_stdvec(&entry).unwrap_or_default());
+        let now = self.last_tick;
+        let at_ms = self.lead.as_ref().map_or(self.persistent.cluster_state.time_ms, |lead| {
+            lead.time_ms + now.saturating_sub(lead.since)
+        });
+        let entry = LogEntry { id, at_ms, command };
+        if let Some(consensus) = &mut self.consensus {
+            consensus.propose(postcard::to_stdvec(&entry).unwrap_or_default());
         }
     }
 
     /// A command of the leader's own.
-    pub(super) fn order(&mut self, command: Command) {
+    pub(super) fn propose_own(&mut self, command: Command) {
         self.count += 1;
         let id = CommandId { origin: self.me().boot, count: self.count };
         self.propose(id, command);
     }
 
-    pub(super) fn answer(&mut self, id: CommandId, told: Told, asker: Asker) {
-        match asker {
-            Asker::At(to) => self.send(to, Payload::Told { id, told }),
-            Asker::Here => self.told(id, told),
+    pub(super) fn respond(&mut self, id: CommandId, response: LeaderResponse, requester: Requester) {
+        match requester {
+            Requester::Remote(to) => self.send(to, Payload::Response { id, response }),
+            Requester::Local => self.handle_response(id, response),
         }
     }
 
-    pub(super) fn told(&mut self, id: CommandId, told: Told) {
-        if let Told::NotLeading(_) = told {
+    pub(super) fn handle_response(&mut self, id: CommandId, response: LeaderResponse) {
+        if let LeaderResponse::NotLeader(_) = response {
             return;
         }
         // An answer that came before settles nothing more.
-        if self.asks.remove(&id).is_none() {
+        if self.pending_requests.remove(&id).is_none() {
             return;
         }
-        if self.begin.is_some_and(|(begin, ..)| begin == id) {
-            return self.word_came(&told);
+        if self.leave_request.is_some_and(|(begin, ..)| begin == id) {
+            return self.handle_leave_response(&response);
         }
-        if let Some((saying, event, grant, _)) = self.saying.filter(|(saying, ..)| *saying == id) {
-            let agreed = told == Told::Outcome(Ok(()));
-            self.saying = agreed.then_some((saying, event, grant, true));
+        if let Some((reported, event, approval, _)) =
+            self.pending_report.filter(|(reported, ..)| *reported == id)
+        {
+            let accepted = response == LeaderResponse::Outcome(Ok(()));
+            self.pending_report = accepted.then_some((reported, event, approval, true));
             return;
         }
-        self.effects.push(Effect::Told { id, told });
+        self.effects.push(Effect::Response { id, response });
     }
 
     /// Answers that came by way of the log or of what was followed.
-    pub(super) fn settle_asks(&mut self) {
-        let known: Vec<CommandId> =
-            self.asks.keys().filter(|id| self.page.agreed.answer(**id).is_some()).copied().collect();
+    pub(super) fn resolve_requests(&mut self) {
+        let known: Vec<CommandId> = self
+            .pending_requests
+            .keys()
+            .filter(|id| self.persistent.cluster_state.outcome_of(**id).is_some())
+            .copied()
+            .collect();
         for id in known {
-            if let Some(outcome) = self.page.agreed.answer(id).cloned() {
-                self.told(id, Told::Outcome(outcome));
+            if let Some(outcome) = self.persistent.cluster_state.outcome_of(id).cloned() {
+                self.handle_response(id, LeaderResponse::Outcome(outcome));
             }
         }
     }
--- /dev/null
+++ b/fleet/src/node/leader.rs
@@ -0,0 +1,393 @@
+//! What the leader alone does: it looks for trouble, keeps the council whole, and puts work into the log.
+
+use super::streams::LeaseTable;
+use super::*;
+
+/// The leader looks at the council and at work so often.
+const LEADER_INTERVAL: Millis = 200;
+/// A command that was put into the log is put there again by the leader if nothing came of it for so long.
+const PROPOSAL_RETRY: Millis = 1_000;
+/// A machine that was granted its work and does not begin has lost it after this.
+const APPROVAL_LAPSE: Millis = 10_000;
+/// A voter that is dead for so long is replaced.
+const VOTER_REPLACE_AFTER: Millis = 5_000;
+/// Fleet time is put into the log so often while there is work.
+const CLOCK_ENTRY_INTERVAL: Millis = 2_000;
+/// A voter's snapshot that may have been lost is sent again after this.
+const SNAPSHOT_RETRY: Millis = 2_000;
+/// Load that is no jump, in thousandths a second; and the factor that is one.
+const LOAD_JUMP_FLOOR_MILLI: u64 = 20_000;
+const LOAD_JUMP_FACTOR: f64 = 1.5;
+
+/// What the leader alone knows.
+pub(super) struct LeaderState {
+    pub(super) since: Millis,
+    /// Fleet time when it began to lead.
+    pub(super) time_ms: Millis,
+    pub(super) last_peer_scan: Millis,
+    /// When something was last put into the log, and what had been applied then.
+    pub(super) last_proposal: (Millis, u64),
+    pub(super) disturbance: Option<(String, Millis)>,
+    pub(super) mean_load: Option<f64>,
+    pub(super) avoided: u64,
+    /// Which members had been well.
+    pub(super) serving: BTreeSet<String>,
+    /// Machines that were on their way back.
+    pub(super) returning_machines: BTreeSet<String>,
+    pub(super) last_clock_entry: Millis,
+    pub(super) last_snapshot_retry: Millis,
+    pub(super) pushed_version: u64,
+    /// Why nothing was granted, as it was last told.
+    pub(super) told: String,
+    pub(super) leases: LeaseTable,
+}
+
+impl Node {
+    pub(super) fn cluster_view(&self, now: Millis) -> ClusterView {
+        let mut members: Vec<ObservedMember> = self
+            .peers
+            .values()
+            .map(|peer| ObservedMember {
+                name: peer.member.name.clone(),
+                zone: peer.member.zone.clone(),
+                health: peer.health,
+                status: peer.status.clone().map(|(status, at)| (status, now.saturating_sub(at))),
+            })
+            .collect();
+        members.push(ObservedMember {
+            name: self.me().name.clone(),
+            zone: self.me().zone.clone(),
+            health: Health::Alive,
+            status: Some((self.own.clone(), 0)),
+        });
+        let disturbance = self.lead.as_ref().and_then(|lead| lead.disturbance.clone());
+        ClusterView {
+            members,
+            max_status_age_ms: self.max_status_age(),
+            disturbance: disturbance.map(|(what, at)| (what, now.saturating_sub(at))),
+        }
+    }
+
+    pub(super) fn run_leader_duties(&mut self, now: Millis) {
+        if !self.is_leader() {
+            self.lead = None;
+            return;
+        }
+        let time_ms = self.persistent.cluster_state.time_ms;
+        let lead = self.lead.get_or_insert_with(|| LeaderState {
+            since: now,
+            time_ms,
+            last_peer_scan: 0,
+            last_proposal: (0, 0),
+            disturbance: Some(("a new leader came".into(), now)),
+            mean_load: None,
+            avoided: u64::MAX,
+            serving: BTreeSet::new(),
+            returning_machines: BTreeSet::new(),
+            last_clock_entry: now,
+            last_snapshot_retry: now,
+            pushed_version: 0,
+            told: String::new(),
+            leases: LeaseTable::default(),
+        });
+        if lead.pushed_version != self.persistent.cluster_state.version {
+            lead.pushed_version = self.persistent.cluster_state.version;
+            self.push_state();
+        }
+        let Some(lead) = &mut self.lead else { return };
+        if now < lead.last_peer_scan + LEADER_INTERVAL {
+            return;
+        }
+        lead.last_peer_scan = now;
+        if now >= lead.last_snapshot_retry + SNAPSHOT_RETRY {
+            lead.last_snapshot_retry = now;
+            if let Some(consensus) = &mut self.consensus {
+                consensus.retry_snapshots();
+            }
+        }
+        self.detect_disturbance(now);
+        let Some(lead) = &mut self.lead else { return };
+        // What was put into the log last is waited for: what follows from it is decided by it.
+        let (at, index) = lead.last_proposal;
+        if index == self.persistent.index && now < at + PROPOSAL_RETRY {
+            return;
+        }
+        let (before, index) = (self.count, self.persistent.index);
+        self.maintain_voters(now);
+        self.schedule_maintenance(now);
+        self.fail_over_streams(now);
+        if let Some(lead) = self.lead.as_mut().filter(|_| self.count > before) {
+            lead.last_proposal = (now, index);
+        }
+        self.process_consensus(now);
+    }
+
+    /// Gives what is agreed to all that follow.
+    pub(super) fn push_state(&mut self) {
+        let (index, leader) = (self.persistent.index, self.leader_name());
+        let cluster_state = Some(self.encoded_state());
+        for to in self.addresses() {
+            self.send(
+                to,
+                Payload::StateUpdate { index, leader: leader.clone(), cluster_state: cluster_state.clone() },
+            );
+        }
+    }
+
+    pub(super) fn detect_disturbance(&mut self, now: Millis) {
+        let cluster_view = self.cluster_view(now);
+        let cluster_state = &self.persistent.cluster_state;
+        let Some(lead) = &mut self.lead else { return };
+        let mut disturbance = None;
+        let under_work =
+            |name: &str| cluster_state.open_request(name).is_some_and(|item| item.state.counts_as_out());
+        for seen in &cluster_view.members {
+            let serving = seen.is_serving(cluster_view.max_status_age_ms);
+            let was = if serving {
+                !lead.serving.insert(seen.name.clone())
+            } else {
+                lead.serving.remove(&seen.name)
+            };
+            if was && !serving && !under_work(&seen.name) {
+                disturbance = Some(format!("{} was lost", seen.name));
+            }
+        }
+        let returning_machines: BTreeSet<String> = cluster_state
+            .open_requests
+            .iter()
+            .filter(|item| matches!(item.state, State::Returning | State::Lost))
+            .map(|item| item.machine.clone())
+            .collect();
+        if let Some(back) = lead.returning_machines.difference(&returning_machines).next() {
+            disturbance = Some(format!("{back} came back"));
+        }
+        lead.returning_machines = returning_machines;
+        let statuses =
+            || cluster_view.members.iter().filter_map(|seen| seen.status.as_ref()).map(|(status, _)| status);
+        let avoided: u64 = statuses().map(|status| u64::from(status.avoided)).sum();
+        let held = cluster_state.open_requests.iter().any(|item| matches!(item.kind, TargetKind::Server(_)));
+        if avoided > lead.avoided && !held {
+            disturbance = Some(format!("check servers are avoided at {avoided} places"));
+        }
+        lead.avoided = avoided;
+        let load: u64 = statuses().map(|status| status.load_milli).sum();
+        let mean = lead.mean_load.unwrap_or(load as f64);
+        let jumps = load > LOAD_JUMP_FLOOR_MILLI && load as f64 > LOAD_JUMP_FACTOR * mean;
+        if jumps {
+            disturbance = Some(format!("load rose to {} a second", load / 1000));
+        }
+        // A mean of half a minute or so, in steps of a look; from a jump on it begins anew.
+        let step = if jumps { 1.0 } else { LEADER_INTERVAL as f64 / 30_000.0 };
+        lead.mean_load = Some(mean + (load as f64 - mean) * step);
+        if let Some(what) = disturbance {
+            lead.disturbance = Some((what, now));
+        }
+    }
+
+    /// Adds voters up to the number of the founders, and replaces those that are lost or go out.
+    pub(super) fn maintain_voters(&mut self, now: Millis) {
+        let cluster_state = &self.persistent.cluster_state;
+        if self.consensus.as_ref().is_none_or(Consensus::is_joint) {
+            return;
+        }
+        let target = match self.config.founders.len().min(5) {
+            0..=2 => 1,
+            3 | 4 => 3,
+            _ => 5,
+        };
+        let max_status_age = self.max_status_age();
+        let is_out =
+            |name: &str| cluster_state.open_request(name).is_some_and(|item| item.state.counts_as_out());
+        let present = |id: &u64, voter: &Voter| {
+            if *id == self.persistent.node {
+                return true;
+            }
+            self.peers.get(&voter.name).is_some_and(|peer| {
+                let dead = !matches!(peer.health, Health::Alive | Health::Suspect);
+                peer.member.node == *id && !(dead && now >= peer.since + VOTER_REPLACE_AFTER)
+            })
+        };
+        let zones = |left: &[&Voter], zone: &str| left.iter().filter(|voter| voter.zone == zone).count();
+        let lost = cluster_state.voters.iter().find(|(id, voter)| !present(id, voter) || is_out(&voter.name));
+        // Zones are balanced where one has two more voters than another that has members to spare.
+        let all: Vec<&Voter> = cluster_state.voters.values().collect();
+        let mut candidates: Vec<&Peer> = self
+            .peers
+            .values()
+            .filter(|peer| {
+                peer.health == Health::Alive && !cluster_state.voters.contains_key(&peer.member.node)
+            })
+            .filter(|peer| !is_out(&peer.member.name) && !cluster_state.is_retired(peer.member.node))
+            .filter(|peer| peer.status.as_ref().is_some_and(|(_, at)| now < at + max_status_age))
+            // Founders first while the council grows: it is theirs by the file.
+            .filter(|peer| {
+                all.len() >= target
+                    || self.config.founders.contains(&peer.member.name)
+                    || now > self.started + 30_000
+            })
+            .collect();
+        let staying: Vec<&Voter> = cluster_state
+            .voters
+            .iter()
+            .filter(|(id, _)| lost.is_none_or(|(gone, _)| gone != *id))
+            .map(|(_, v)| v)
+            .collect();
+        let founder = |name: &String| !self.config.founders.contains(name);
+        candidates.sort_by_key(|peer| {
+            let member = &peer.member;
+            (zones(&staying, &member.zone), founder(&member.name), member.name.clone())
+        });
+        let Some(new) = candidates.first().map(|peer| peer.member.clone()) else { return };
+        let overrepresented = || {
+            let voter = cluster_state.voters.iter().filter(|(id, _)| **id != self.persistent.node);
+            let most = voter.max_by_key(|(_, voter)| zones(&all, &voter.zone))?;
+            (zones(&all, &most.1.zone) >= zones(&all, &new.zone) + 2).then_some(*most.0)
+        };
+        let (add, remove) = if all.len() < target {
+            // To an odd number at once: of two voters none may be lost.
+            let add = (target - all.len()).min(candidates.len());
+            (add - (all.len() + add + 1) % 2, None)
+        } else {
+            let remove = lost.map(|(id, _)| *id).or_else(overrepresented);
+            (usize::from(remove.is_some()), remove)
+        };
+        if add == 0 {
+            return;
+        }
+        let is_lead = remove == Some(self.persistent.node);
+        let added: Vec<(u64, Voter)> = candidates[..add]
+            .iter()
+            .map(|peer| &peer.member)
+            .map(|new| {
+                let (name, zone) = (new.name.clone(), new.zone.clone());
+                (new.node, Voter { name, zone, address: new.address })
+            })
+            .collect();
+        let successor = cluster_state.voters.iter().find(|(id, voter)| {
+            **id != self.persistent.node
+                && self.peers.get(&voter.name).is_some_and(|peer| peer.health == Health::Alive)
+        });
+        let successor = successor.map(|(id, _)| *id);
+        let Some(consensus) = &mut self.consensus else { return };
+        if is_lead {
+            // A leader does not take itself out: another one does it.
+            if let Some(successor) = successor {
+                consensus.transfer_leadership(successor);
+            }
+            return;
+        }
+        let ids: Vec<u64> = added.iter().map(|(id, _)| *id).collect();
+        let removed: Vec<u64> = remove.into_iter().collect();
+        let context = postcard::to_stdvec(&added).unwrap_or_default();
+        if consensus.replace_voters(&ids, &removed, context) {
+            let gone = if removed.is_empty() { "" } else { ", another one does not vote any more" };
+            let names: Vec<String> = added.into_iter().map(|(_, voter)| voter.name).collect();
+            self.count += 1;
+            self.log(format!("fleet: voters from now on: {}{gone}", names.join(", ")));
+        }
+    }
+
+    /// All that the leader puts into the log about work.
+    pub(super) fn schedule_maintenance(&mut self, now: Millis) {
+        let cluster_view = self.cluster_view(now);
+        let time = self.lead.as_ref().map_or(0, |lead| lead.time_ms + now.saturating_sub(lead.since));
+        // Machines that were met, and are not in the roster as they are.
+        let alive = self.members().into_iter().filter(|(_, health)| *health == Health::Alive);
+        let roster = &self.persistent.cluster_state.roster;
+        let join: Vec<Command> = alive
+            .filter_map(|(member, _)| {
+                let minor = self.minor_of(&member.name)?;
+                let known = RosterEntry { zone: member.zone, minor };
+                let differs = roster.get(&member.name) != Some(&known);
+                differs.then_some(Command::Join { name: member.name, zone: known.zone, minor })
+            })
+            .collect();
+        let quiet = join.is_empty();
+        join.into_iter().for_each(|command| self.propose_own(command));
+        let items = self.persistent.cluster_state.open_requests.clone();
+        let mut moved = false;
+        for item in &items {
+            if let Some(event) = self.due_event(item, &cluster_view, time, now) {
+                let (machine, approval) = (item.machine.clone(), item.approval.unwrap_or(0));
+                match event {
+                    Event::Expire if item.approval.is_none() => {
+                        self.propose_own(Command::Withdraw { machine })
+                    }
+                    event => self.propose_own(Command::ReportEvent { machine, approval, event }),
+                }
+                moved = true;
+            }
+        }
+        let Some(lead) = &mut self.lead else { return };
+        if !items.is_empty() && now >= lead.last_clock_entry + CLOCK_ENTRY_INTERVAL {
+            lead.last_clock_entry = now;
+            self.propose_own(Command::AdvanceClock);
+        }
+        // A council that is not whole yet grants nothing: too few disks would know of it.
+        let whole = self.persistent.cluster_state.voters.len() >= self.config.founders.len().min(3);
+        if moved || !quiet || !whole || items.iter().all(|item| item.state != State::Requested) {
+            return;
+        }
+        let (cluster_state, limits) = (&self.persistent.cluster_state, &self.config.limits);
+        match scheduler::next_candidate(cluster_state, &cluster_view, limits) {
+            Ok(machine) => {
+                let (base_version, max_out) = (cluster_state.version, limits.max_out);
+                self.propose_own(Command::Approve { machine, base_version, max_out });
+            }
+            Err(why) => {
+                let (Some(lead), Some((machine, why))) = (&mut self.lead, why.first()) else { return };
+                // Of the oldest alone, and without figures that change all the time: a reason is told once.
+                let kind: String = why.to_string().chars().filter(|c| !c.is_ascii_digit()).collect();
+                if lead.told != kind {
+                    lead.told = kind;
+                    let line = format!("fleet: work on {machine} waits: {why}");
+                    self.log(line);
+                }
+            }
+        }
+    }
+
+    /// What has become due about one request.
+    pub(super) fn due_event(
+        &self,
+        item: &MaintenanceRequest,
+        cluster_view: &ClusterView,
+        time: Millis,
+        now: Millis,
+    ) -> Option<Event> {
+        let expired = item.expires_at_ms.is_some_and(|until| time > until);
+        let late = item.due_at_ms.is_some_and(|due| time > due);
+        let seen = |seen: &&ObservedMember| seen.health == Health::Alive;
+        let all_say = |check: &dyn Fn(&Status) -> bool| {
+            cluster_view.members.iter().filter(seen).all(|seen| {
+                seen.status
+                    .as_ref()
+                    .is_some_and(|(status, age)| *age <= cluster_view.max_status_age_ms && check(status))
+            })
+        };
+        match (item.state, item.kind) {
+            (State::Requested | State::Approved, _) if expired => Some(Event::Expire),
+            (State::Approved, TargetKind::Server(_)) => Some(Event::Begin),
+            (State::Approved, TargetKind::Agent) if time > item.state_since_ms + APPROVAL_LAPSE => {
+                Some(Event::Lapse)
+            }
+            (State::Draining | State::Out, _) if late => Some(Event::DeadlinePassed),
+            (State::Draining, TargetKind::Server(server)) => {
+                let approval = item.approval.unwrap_or(0);
+                let free = |status: &Status| status.held.contains(&(server, approval, false));
+                all_say(&free).then_some(Event::Drained)
+            }
+            (State::Returning, TargetKind::Server(server)) => {
+                let free = |status: &Status| !status.held.iter().any(|(held, ..)| *held == server);
+                all_say(&free).then_some(Event::Returned)
+            }
+            (State::Approved | State::Draining | State::Returning | State::Overdue, TargetKind::Agent) => {
+                let lost = |peer: &Peer| peer.health == Health::Dead && now >= peer.since;
+                let lost = self.peers.get(&item.machine).is_some_and(lost);
+                let gone = lost && !(item.state == State::Overdue && item.drained);
+                gone.then_some(Event::MachineLost)
+            }
+            _ => None,
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/node/local_maintenance.rs
@@ -0,0 +1,137 @@
+//! This machine's own work: it asks before it leaves, says what became of it, and comes back.
+
+use super::*;
+
+/// The council's word that this machine may leave held_replicas for so long from when it was asked for.
+pub const LEAVE_RESPONSE_VALIDITY: Millis = 2_000;
+
+impl Node {
+    pub(super) fn update_local_maintenance(&mut self, now: Millis) {
+        if self.persistent.index == 0 {
+            // Nothing is known of this council yet; what was promised to the one before stays.
+            return;
+        }
+        let name = self.me().name.clone();
+        let item = self
+            .persistent
+            .cluster_state
+            .open_request(&name)
+            .filter(|item| item.kind == TargetKind::Agent)
+            .cloned();
+        let Some(item) = item.filter(|item| item.approval.is_some()) else {
+            return self.resume_serving();
+        };
+        let approval = item.approval.unwrap_or(0);
+        match item.state {
+            State::Approved | State::Draining | State::Out | State::Overdue => {
+                // An older number is nobody's word any more.
+                if self.persistent.away_approval.is_some_and(|left| left >= approval) && self.is_away {
+                    if self.persistent.away_approval == Some(approval) && item.state == State::Draining {
+                        self.report_drained(now, &name, approval);
+                    }
+                    return;
+                }
+                self.request_leave(now, &name, approval);
+            }
+            State::Returning | State::Lost => {
+                self.resume_serving();
+                if self.own.serving {
+                    self.report(now, &name, approval, Event::Returned);
+                }
+            }
+            State::Requested | State::Done | State::Withdrawn => self.resume_serving(),
+        }
+    }
+
+    /// Asks the council whether the grant still held_replicas, by way of the log: once that is agreed, the machine
+    /// counts as out until it says otherwise itself.
+    pub(super) fn request_leave(&mut self, now: Millis, name: &str, approval: u64) {
+        let waits = self.leave_request.is_some_and(|(id, ..)| self.pending_requests.contains_key(&id));
+        if waits {
+            return;
+        }
+        if let Some((id, ..)) = self.leave_request.take() {
+            self.pending_requests.remove(&id);
+        }
+        let command = Command::ReportEvent { machine: name.into(), approval, event: Event::Begin };
+        // Noted first: the answer may come at once where this member leads.
+        let id = CommandId { origin: self.me().boot, count: self.count + 1 };
+        self.leave_request = Some((id, now, approval));
+        self.submit(now, LeaderRequest::Execute(command));
+    }
+
+    /// The council's word on that.
+    pub(super) fn handle_leave_response(&mut self, response: &LeaderResponse) {
+        let Some((_, since, approval)) = self.leave_request.take() else { return };
+        // `ticked` is of this moment or the tick before; a member that slept has dropped the question.
+        if *response != LeaderResponse::Outcome(Ok(())) || self.last_tick > since + LEAVE_RESPONSE_VALIDITY {
+            return;
+        }
+        let name = self.me().name.clone();
+        // Another one may have come since it was asked about this one.
+        if self
+            .persistent
+            .cluster_state
+            .open_request(&name)
+            .is_some_and(|item| item.approval == Some(approval))
+        {
+            self.start_leaving(approval);
+        }
+    }
+
+    pub(super) fn start_leaving(&mut self, approval: u64) {
+        self.persistent.away_approval = Some(approval);
+        self.persist();
+        self.is_away = true;
+        self.effects.push(Effect::StartDrain { approval });
+        self.log(format!("fleet: this machine leaves for work, grant {approval}"));
+    }
+
+    pub(super) fn report_drained(&mut self, now: Millis, name: &str, approval: u64) {
+        if !self.own.serving && self.own.calls == 0 {
+            self.report(now, name, approval, Event::Drained);
+        }
+    }
+
+    /// Says something of itself, once, until it is agreed or refused.
+    pub(super) fn report(&mut self, now: Millis, machine: &str, approval: u64, event: Event) {
+        let said = |(id, said, by, cluster_state): (CommandId, Event, u64, bool)| {
+            (said, by) == (event, approval) && (cluster_state || self.pending_requests.contains_key(&id))
+        };
+        if self.pending_report.is_some_and(said) {
+            return;
+        }
+        let command = Command::ReportEvent { machine: machine.into(), approval, event };
+        let id = CommandId { origin: self.me().boot, count: self.count + 1 };
+        self.pending_report = Some((id, event, approval, false));
+        self.submit(now, LeaderRequest::Execute(command));
+    }
+
+    pub(super) fn resume_serving(&mut self) {
+        if std::mem::take(&mut self.is_away) {
+            self.persistent.away_approval = None;
+            self.effects.push(Effect::Resume);
+            self.log("fleet: this machine serves again".into());
+            self.persist();
+        }
+        self.leave_request = None;
+    }
+
+    pub(super) fn update_held_servers(&mut self) {
+        let held: BTreeMap<u32, u64> = self
+            .persistent
+            .cluster_state
+            .open_requests
+            .iter()
+            .filter(|item| matches!(item.state, State::Draining | State::Out | State::Overdue))
+            .filter_map(|item| match item.kind {
+                TargetKind::Server(number) => Some((number, item.approval.unwrap_or(0))),
+                TargetKind::Agent => None,
+            })
+            .collect();
+        if held != self.held {
+            self.held.clone_from(&held);
+            self.effects.push(Effect::HoldServers(held));
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/node/membership.rs
@@ -0,0 +1,193 @@
+//! Who is there: what the membership engine says, the words of those who dial, and this member's own lives.
+
+use super::*;
+
+/// A member that is taken for dead is called so often: after a long cut both sides have forgotten each other.
+const DEAD_MEMBER_PROBE_INTERVAL: Millis = 1_000;
+/// Dead members are shown for so long once they are out of the roster.
+const DEAD_MEMBER_RETENTION: Millis = 600_000;
+/// Members are looked through this seldom for each of them: in a fleet of hundreds that is most of the work.
+const SCAN_INTERVAL_PER_MEMBER: Millis = 1;
+/// Members and their disks that are remembered, at most.
+const MAX_KNOWN_MEMBERS: usize = 4_096;
+
+impl Node {
+    pub(super) fn apply_swim_output(&mut self, now: Millis, output: SwimOutput) {
+        for (to, bytes) in output.send {
+            self.send(to.address, Payload::Gossip(bytes));
+        }
+        if output.identity_renewed {
+            self.persist_incarnation(now);
+        }
+    }
+
+    /// Our life is another one; the disk is told before anybody else is.
+    pub(super) fn persist_incarnation(&mut self, _now: Millis) {
+        self.persistent.incarnation = self.persistent.incarnation.max(self.me().incarnation);
+        let name = self.me().name.clone();
+        self.persistent.incarnations.insert(name, self.persistent.incarnation);
+        // Effects that speak of it come after this one: what was sent so far is moved behind.
+        let sent = std::mem::take(&mut self.effects);
+        self.persist();
+        self.effects.extend(sent);
+    }
+
+    pub(super) fn refresh_peers(&mut self, now: Millis) {
+        if now < self.last_peer_scan + SCAN_INTERVAL_PER_MEMBER * self.peers.len() as Millis {
+            return;
+        }
+        self.last_peer_scan = now;
+        let Node { swim, peers, effects, persistent, .. } = self;
+        let mut seen: BTreeMap<&str, (&Member, Health)> = BTreeMap::new();
+        let me = &swim.me().name;
+        for (member, health) in swim.members().filter(|(member, _)| member.name != *me) {
+            // Of two lives of one name the later one counts.
+            let later = |known: &(&Member, Health)| {
+                (known.0.incarnation, known.0.boot) < (member.incarnation, member.boot)
+            };
+            if seen.get(member.name.as_str()).is_none_or(later) {
+                seen.insert(&member.name, (member, health));
+            }
+        }
+        for (name, (member, health)) in &seen {
+            let room = peers.len() < MAX_KNOWN_MEMBERS;
+            let told = |health: Health| Effect::Log(format!("fleet: {name} is {}", health.as_str()));
+            let Some(peer) = peers.get_mut(*name) else {
+                if room {
+                    effects.push(told(*health));
+                    let (member, health) = (Member::clone(member), *health);
+                    let peer = Peer {
+                        member,
+                        health,
+                        since: now,
+                        left_incarnation: None,
+                        status: None,
+                        minor: None,
+                    };
+                    peers.insert(name.to_string(), peer);
+                }
+                continue;
+            };
+            let health = match peer.left_incarnation {
+                Some(incarnation) if incarnation >= member.incarnation => Health::Left,
+                _ => *health,
+            };
+            if peer.member != **member {
+                if peer.member.boot != member.boot {
+                    (peer.status, peer.minor) = (None, None);
+                }
+                peer.member = Member::clone(member);
+            }
+            if peer.health != health {
+                (peer.health, peer.since) = (health, now);
+                effects.push(told(health));
+            }
+        }
+        let roster = &persistent.cluster_state.roster;
+        peers.retain(|name, peer| {
+            seen.contains_key(name.as_str())
+                || roster.contains_key(name)
+                || now < peer.since + DEAD_MEMBER_RETENTION
+        });
+        // The engine forgets its dead after a while; here they stay dead.
+        for (name, peer) in peers {
+            if !seen.contains_key(name.as_str()) && matches!(peer.health, Health::Alive | Health::Suspect) {
+                (peer.health, peer.since) = (Health::Dead, now);
+            }
+        }
+    }
+
+    /// Calls members that are taken for dead, one after the other: they may take us for dead too.
+    pub(super) fn probe_dead_member(&mut self, now: Millis) {
+        if now < self.last_dead_probe + DEAD_MEMBER_PROBE_INTERVAL {
+            return;
+        }
+        self.last_dead_probe = now;
+        let dead: Vec<&Peer> = self.peers.values().filter(|peer| peer.health == Health::Dead).collect();
+        let next = (now / DEAD_MEMBER_PROBE_INTERVAL) as usize % dead.len().max(1);
+        if let Some(member) = dead.get(next).map(|peer| peer.member.clone()) {
+            let output = self.swim.announce(now, &member);
+            self.apply_swim_output(now, output);
+        }
+    }
+
+    /// What we know of another's disk and name; and that we know it from now on.
+    pub(super) fn build_welcome(&mut self, from: &Member, is_reply: bool) -> Payload {
+        let seen = self.persistent.seen_disks.get(&from.node).copied();
+        // Words of one start may overtake each other.
+        let disk_is_current =
+            seen.is_none_or(|(incarnation, boot)| from.incarnation > incarnation || from.boot == boot);
+        let incarnation = self.persistent.incarnations.get(&from.name).copied().unwrap_or(0);
+        if disk_is_current && (self.persistent.seen_disks.len() < MAX_KNOWN_MEMBERS || seen.is_some()) {
+            let incarnation =
+                seen.map_or(from.incarnation, |(incarnation, _)| incarnation.max(from.incarnation));
+            self.persistent.seen_disks.insert(from.node, (incarnation, from.boot));
+        }
+        if self.persistent.incarnations.len() < MAX_KNOWN_MEMBERS || incarnation > 0 {
+            self.persistent.incarnations.insert(from.name.clone(), incarnation.max(from.incarnation));
+        }
+        Payload::Welcome { recipient: (from.node, from.boot), incarnation, disk_is_current, is_reply }
+    }
+
+    pub(super) fn handle_welcome(
+        &mut self,
+        now: Millis,
+        from: &Member,
+        incarnation: u64,
+        disk_is_current: bool,
+    ) {
+        if !disk_is_current {
+            return self.reset_identity(now, incarnation, "the directory is an older copy");
+        }
+        self.confirming_voters.insert(from.node);
+        if incarnation > self.me().incarnation {
+            // Our name has lived on longer elsewhere: the machine came back without its disk.
+            let me = Member { incarnation: incarnation + 1, ..self.me().clone() };
+            let output = self.swim.change_identity(now, me);
+            self.persist_incarnation(now);
+            self.apply_swim_output(now, output);
+        }
+        if self.config.founders.contains(&from.name) && !self.persistent.group_id.is_some() {
+            self.founders_without_group.insert(from.name.clone());
+        }
+    }
+
+    /// Our log is no use any more: the disk is an older copy of one that was seen since, and what it held_replicas of
+    /// votes and entries may have been said otherwise; or the council has gone on without us. It is another
+    /// disk from now on, and never votes as the old one. What was agreed last is kept until a newer state
+    /// comes: staff and the check servers under work are not to take it for nothing.
+    pub(super) fn reset_identity(&mut self, now: Millis, incarnation: u64, why: &str) {
+        let me = self.me().clone();
+        let node = me.node.rotate_left(17) ^ me.boot;
+        let incarnation = incarnation.max(me.incarnation) + 1;
+        self.log(format!("fleet: {why}, this machine begins anew as {node:x}"));
+        let me = Member { node, incarnation, ..me };
+        let output = self.swim.change_identity(now, me);
+        self.persistent = PersistentState {
+            node,
+            incarnation,
+            group_id: self.persistent.group_id,
+            seen_disks: std::mem::take(&mut self.persistent.seen_disks),
+            incarnations: std::mem::take(&mut self.persistent.incarnations),
+            away_approval: self.persistent.away_approval,
+            index: 0,
+            cluster_state: std::mem::take(&mut self.persistent.cluster_state),
+        };
+        self.confirming_voters.clear();
+        let name = self.me().name.clone();
+        self.persistent.incarnations.insert(name, incarnation);
+        self.replace_log(None);
+        self.apply_swim_output(now, output);
+    }
+
+    /// Another log begins, or none is kept until one comes.
+    pub(super) fn replace_log(&mut self, log: Option<Write>) {
+        (self.consensus, self.lead, self.may_participate) = (None, None, true);
+        self.pending_report = None;
+        self.last_persisted = self.persistent.clone();
+        // Ahead of all that was to be sent of the one before.
+        let page = Box::new(self.persistent.clone());
+        self.effects.retain(|effect| !matches!(effect, Effect::WriteLog(_) | Effect::Persist(_)));
+        self.effects.insert(0, Effect::ReplaceLog { page, log });
+    }
+}
--- a/fleet/src/node/mod.rs
+++ b/fleet/src/node/mod.rs
@@ -5,42 +5,44 @@
 //! out [`Effect`]s in their order: what is to be written is on disk before what follows it is sent.
 
 mod commands;
-mod lead;
-mod members;
-mod own;
+mod group;
+mod leader;
+mod local_maintenance;
+mod membership;
 mod streams;
-mod voting;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::agreed::{Agreed, Command, CommandId, Entry, Machine, Refusal, Voter};
-use crate::council::{Council, CouncilError, Kept, Step, Write};
-use crate::order::{self, Limits, Seen, Sight};
-use crate::swim::{Found, Health, Member, Swim};
-use crate::words::{Ask, Envelope, Foundation, Held, Payload, Status, Told, Written, MAJOR};
-use crate::work::{Event, Item, Kind, State};
+use crate::cluster_state::{ClusterState, Command, CommandId, LogEntry, Rejection, RosterEntry, Voter};
+use crate::consensus::{Consensus, ConsensusError, Output, PersistedLog, Write};
+use crate::maintenance::{Event, MaintenanceRequest, State, TargetKind};
+use crate::messages::{
+    Envelope, GroupId, HeldReplica, LeaderRequest, LeaderResponse, Payload, Status, StreamEpoch, MAJOR,
+};
+use crate::scheduler::{self, ClusterView, Limits, ObservedMember};
+use crate::swim::{Health, Member, Swim, SwimOutput};
 use crate::Millis;
-use lead::Lead;
-use streams::Streams;
+use leader::LeaderState;
+use streams::StreamState;
 
 /// The council's engine is ticked so often.
-const TICK: Millis = 100;
+const CONSENSUS_TICK: Millis = 100;
 /// Commands of this member that are under way, at most, and those of others that wait for the log.
-const MOST_ASKS: usize = 64;
+const MAX_PENDING_REQUESTS: usize = 64;
 /// A leader is not heard of for so long before a new council may be founded by hand.
-const LEADERLESS: Millis = 5_000;
-/// A refusal is told in the log once, and again after this; so many are remembered.
-const REFUSED_AGAIN: Millis = 60_000;
-const MOST_REFUSED: usize = 64;
+const LEADER_TIMEOUT: Millis = 5_000;
+/// A refusal is response in the log once, and again after this; so many are remembered.
+const REJECTION_LOG_INTERVAL: Millis = 60_000;
+const MAX_LOGGED_REJECTIONS: usize = 64;
 /// Grants of a council that is lost may have gone this far beyond the copy that a new one starts from.
-const REFOUNDED: u64 = 1 << 20;
+const REFOUND_APPROVAL_GAP: u64 = 1 << 20;
 
 /// How a fleet is set up: the same for all members, but for their own names.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct NodeConfig {
     pub cluster: String,
     /// The first council, by names; the first of them founds it.
     pub founders: Vec<String>,
@@ -51,26 +53,26 @@
 
 /// What a member keeps on disk beside the council's log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Page {
+pub struct PersistentState {
     /// Of this disk, drawn when it was first used.
     pub node: u64,
-    pub life: u64,
-    pub foundation: Foundation,
+    pub incarnation: u64,
+    pub group_id: GroupId,
     /// The highest life, and the start, that was seen of each disk.
-    disks: BTreeMap<u64, (u64, u64)>,
+    seen_disks: BTreeMap<u64, (u64, u64)>,
     /// The highest life of each name.
-    lives: BTreeMap<String, u64>,
+    incarnations: BTreeMap<String, u64>,
     /// The grant by which this machine is out.
-    left: Option<u64>,
+    away_approval: Option<u64>,
     /// What was agreed when this was written, and its place in the log.
     index: u64,
-    agreed: Agreed,
+    cluster_state: ClusterState,
 }
 
-impl Page {
-    /// Of a directory that holds nothing yet.
+impl PersistentState {
+    /// Of a directory that held_replicas nothing yet.
     pub fn first(node: u64) -> Self {
-        Page { node, ..Page::default() }
+        PersistentState { node, ..PersistentState::default() }
     }
 
     pub fn to_bytes(&self) -> Vec<u8> {
@@ -87,13 +89,13 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Of the council's log.
-    Write(Write),
+    WriteLog(Write),
     /// The whole of what else is kept.
-    Keep(Box<Page>),
+    Persist(Box<PersistentState>),
     /// The log is another one from now on: what there was of it goes, this comes in its place (if anything),
     /// and the page with it, all at once.
-    Renew {
-        page: Box<Page>,
+    ReplaceLog {
+        page: Box<PersistentState>,
         log: Option<Write>,
     },
     Send {
@@ -101,26 +103,26 @@
         payload: Payload,
     },
     /// The machine leaves: it sends its clients away.
-    Leave {
-        grant: u64,
+    StartDrain {
+        approval: u64,
     },
     /// It was out by this grant when its process ended: it takes up no work until it hears that it may.
-    Stay {
-        grant: u64,
+    RemainOut {
+        approval: u64,
     },
-    /// A word about copies came.
-    Copies {
+    /// A word recipient copies came.
+    Replication {
         from: Box<Member>,
         bytes: Vec<u8>,
     },
     /// It serves again.
-    Return,
+    Resume,
     /// No new set-ups go to these check servers, each with its grant. All others are free.
-    Hold(BTreeMap<u32, u64>),
+    HoldServers(BTreeMap<u32, u64>),
     /// A command or question of staff has come to its end.
-    Told {
+    Response {
         id: CommandId,
-        told: Told,
+        response: LeaderResponse,
     },
     Log(String),
 }
@@ -132,95 +134,95 @@
     /// Since when its health is so.
     since: Millis,
     /// The life in which it said that it leaves.
-    left: Option<u64>,
+    left_incarnation: Option<u64>,
     status: Option<(Status, Millis)>,
     /// The minor version that it speaks, once it was heard.
     minor: Option<u16>,
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
-    ask: Ask,
+struct PendingRequest {
+    request: LeaderRequest,
     since: Millis,
     sent: Option<Millis>,
 }
 
 /// Where the answer to a command goes once it is in the log.
 #[derive(Clone, Debug, PartialEq)]
-enum Asker {
-    Here,
-    At(SocketAddr),
+enum Requester {
+    Local,
+    Remote(SocketAddr),
 }
 
 /// Figures of one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     pub alive: u64,
     pub suspect: u64,
     pub dead: u64,
     pub voters: u64,
     /// A change of voters is under way: those before and those after it must both agree.
     pub joint: bool,
-    pub leads: bool,
-    pub votes: bool,
+    pub is_leader: bool,
+    pub is_voter: bool,
     pub leader: Option<String>,
     pub term: u64,
     pub index: u64,
-    pub foundation: u64,
-    pub open: u64,
-    pub out: u64,
-    pub last_grant: u64,
-    pub slept_ms: u64,
+    pub group_number: u64,
+    pub open_requests: u64,
+    pub machines_out: u64,
+    pub last_approval: u64,
+    pub stalled_ms: u64,
     /// Commands that were refused because of an older grant or state.
     pub fenced: u64,
     /// Words of other clusters, other councils or unknown speakers.
-    pub strange: u64,
+    pub unexpected_messages: u64,
     /// Frames that found no way out, and octets sent; the front counts these.
     pub unsent: u64,
     pub octets: u64,
 }
 
 pub struct Node {
-    setup: Setup,
+    config: NodeConfig,
     swim: Swim,
-    page: Page,
-    kept: Page,
-    council: Option<Council>,
+    persistent: PersistentState,
+    last_persisted: PersistentState,
+    consensus: Option<Consensus>,
     /// Voters that found our disk to be the one that they had seen; until there are enough of them, a voter
     /// that had a log at its start keeps still.
-    vouched: BTreeSet<u64>,
+    confirming_voters: BTreeSet<u64>,
     /// Enough of them did, once; or the log was begun in this start, so no older copy of it can be.
-    may_speak: bool,
+    may_participate: bool,
     peers: BTreeMap<String, Peer>,
     leader: Option<String>,
-    leader_heard: Millis,
+    leader_seen_at: Millis,
     started: Millis,
     /// Founders that know of no council.
-    none_known: BTreeSet<String>,
+    founders_without_group: BTreeSet<String>,
     own: Status,
     /// The question that asks whether the machine may leave by a grant, and since when.
-    begin: Option<(CommandId, Millis, u64)>,
+    leave_request: Option<(CommandId, Millis, u64)>,
     /// What this machine says of itself (that it has drained, that it is back), by which grant, and whether
     /// that is known to be agreed.
-    saying: Option<(CommandId, Event, u64, bool)>,
-    /// The machine was told to leave, or to serve.
-    away: bool,
+    pending_report: Option<(CommandId, Event, u64, bool)>,
+    /// The machine was response to leave, or to serve.
+    is_away: bool,
     held: BTreeMap<u32, u64>,
-    asks: BTreeMap<CommandId, Asked>,
-    proposing: BTreeMap<CommandId, Asker>,
+    pending_requests: BTreeMap<CommandId, PendingRequest>,
+    pending_proposals: BTreeMap<CommandId, Requester>,
     count: u64,
-    lead: Option<Lead>,
-    streams: Streams,
-    ticked: Millis,
-    called: Millis,
-    looked: Millis,
-    followed: Millis,
+    lead: Option<LeaderState>,
+    streams: StreamState,
+    last_tick: Millis,
+    last_dead_probe: Millis,
+    last_peer_scan: Millis,
+    last_status_sent: Millis,
     next_peer: usize,
     fenced: u64,
-    strange: u64,
-    /// Refusals that the log told of, and when.
-    refusals: BTreeMap<String, Millis>,
-    conflict: bool,
+    unexpected_messages: u64,
+    /// Refusals that the log response of, and when.
+    logged_rejections: BTreeMap<String, Millis>,
+    group_conflict_logged: bool,
     effects: Vec<Effect>,
 }
 
@@ -231,71 +233,71 @@
     /// What was kept of the log can't be read.
     pub fn new(
         now: Millis,
-        setup: Setup,
+        config: NodeConfig,
         me: Member,
-        page: Page,
-        kept: &Kept,
+        persistent: PersistentState,
+        persisted: &PersistedLog,
         seed: u64,
-    ) -> Result<Self, CouncilError> {
-        let mut page = page;
-        page.life += 1;
-        let me = Member { node: page.node, life: page.life, ..me };
-        page.lives.insert(me.name.clone(), page.life);
-        let had_log = !kept.snapshot.is_empty() || !kept.hard.is_empty();
-        let council = if had_log { Some(Council::new(page.node, kept)?) } else { None };
+    ) -> Result<Self, ConsensusError> {
+        let mut persistent = persistent;
+        persistent.incarnation += 1;
+        let me = Member { node: persistent.node, incarnation: persistent.incarnation, ..me };
+        persistent.incarnations.insert(me.name.clone(), persistent.incarnation);
+        let had_log = !persisted.snapshot.is_empty() || !persisted.hard.is_empty();
+        let consensus = if had_log { Some(Consensus::new(persistent.node, persisted)?) } else { None };
         let mut node = Node {
-            setup,
+            config,
             swim: Swim::new(now, me, seed),
-            kept: Page::default(),
-            page,
-            council,
-            vouched: BTreeSet::new(),
-            may_speak: !had_log,
+            last_persisted: PersistentState::default(),
+            persistent,
+            consensus,
+            confirming_voters: BTreeSet::new(),
+            may_participate: !had_log,
             peers: BTreeMap::new(),
             leader: None,
-            leader_heard: now,
+            leader_seen_at: now,
             started: now,
-            none_known: BTreeSet::new(),
+            founders_without_group: BTreeSet::new(),
             own: Status::default(),
-            begin: None,
-            saying: None,
-            away: false,
+            leave_request: None,
+            pending_report: None,
+            is_away: false,
             held: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            proposing: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
+            pending_proposals: BTreeMap::new(),
             count: 0,
             lead: None,
-            streams: Streams::default(),
-            ticked: now,
-            called: now,
-            looked: 0,
-            followed: 0,
+            streams: StreamState::default(),
+            last_tick: now,
+            last_dead_probe: now,
+            last_peer_scan: 0,
+            last_status_sent: 0,
             next_peer: 0,
             fenced: 0,
-            strange: 0,
-            refusals: BTreeMap::new(),
-            conflict: false,
+            unexpected_messages: 0,
+            logged_rejections: BTreeMap::new(),
+            group_conflict_logged: false,
             effects: Vec::new(),
         };
-        if let Some((data, _)) = node.council.as_ref().and_then(Council::restored) {
-            if let Ok(agreed) = postcard::from_bytes(&data) {
-                node.page.agreed = agreed;
-                node.page.index = node.council.as_ref().map_or(0, Council::applied);
+        if let Some((data, _)) = node.consensus.as_ref().and_then(Consensus::restored_state) {
+            if let Ok(cluster_state) = postcard::from_bytes(&data) {
+                node.persistent.cluster_state = cluster_state;
+                node.persistent.index = node.consensus.as_ref().map_or(0, Consensus::applied);
             }
         }
         // Kept before it is spoken of: the next start must differ from this one.
-        node.keep();
-        if node.council.as_ref().is_some_and(|council| !council.votes()) {
-            node.reborn(now, 0, "its log is of a council without it");
+        node.persist();
+        if node.consensus.as_ref().is_some_and(|consensus| !consensus.is_voter()) {
+            node.reset_identity(now, 0, "its log is of a council without it");
         }
-        if let Some(grant) = node.page.left {
-            node.away = true;
-            node.effects.push(Effect::Stay { grant });
+        if let Some(approval) = node.persistent.away_approval {
+            node.is_away = true;
+            node.effects.push(Effect::RemainOut { approval });
             node.log(format!(
-                "fleet: this machine was out for work, grant {grant}, and stays so until it hears more"
+                "fleet: this machine was out for work, grant {approval}, and stays so until it hears more"
             ));
         }
-        node.hold();
+        node.update_held_servers();
         Ok(node)
     }
 
@@ -303,13 +305,13 @@
         self.swim.me()
     }
 
-    pub fn agreed(&self) -> &Agreed {
-        &self.page.agreed
+    pub fn cluster_state(&self) -> &ClusterState {
+        &self.persistent.cluster_state
     }
 
     /// Whether anything was ever heard of what the council agreed.
-    pub fn knows(&self) -> bool {
-        self.page.index > 0 || self.page.agreed.version > 0
+    pub fn has_cluster_state(&self) -> bool {
+        self.persistent.index > 0 || self.persistent.cluster_state.version > 0
     }
 
     pub fn take_effects(&mut self) -> Vec<Effect> {
@@ -318,8 +320,8 @@
 
     /// What this member says of itself with every word.
     pub fn envelope(&self, payload: Payload) -> Envelope {
-        let (cluster, from) = (self.setup.cluster.clone(), self.me().clone());
-        Envelope { cluster, from, foundation: self.page.foundation, payload, minor: self.setup.minor }
+        let (cluster, from) = (self.config.cluster.clone(), self.me().clone());
+        Envelope { cluster, from, group_id: self.persistent.group_id, payload, minor: self.config.minor }
     }
 
     /// All members that are known, this one among them, by name.
@@ -334,7 +336,7 @@
     /// The minor version that a member speaks, where that is known.
     pub fn minor_of(&self, name: &str) -> Option<u16> {
         if name == self.me().name {
-            return Some(self.setup.minor);
+            return Some(self.config.minor);
         }
         self.peers.get(name).and_then(|peer| peer.minor)
     }
@@ -345,99 +347,101 @@
         self.peers.values().filter(there).map(|peer| peer.member.address).collect()
     }
 
-    pub fn figures(&self) -> Figures {
+    pub fn metrics(&self) -> Metrics {
         let of = |health| self.peers.values().filter(|peer| peer.health == health).count() as u64;
-        let agreed = &self.page.agreed;
-        Figures {
+        let cluster_state = &self.persistent.cluster_state;
+        Metrics {
             alive: of(Health::Alive) + 1,
             suspect: of(Health::Suspect),
             dead: of(Health::Dead),
-            voters: agreed.voters.len() as u64,
-            joint: self.council.as_ref().is_some_and(Council::is_joint),
-            leads: self.leads(),
-            votes: self.council.as_ref().is_some_and(Council::votes),
+            voters: cluster_state.voters.len() as u64,
+            joint: self.consensus.as_ref().is_some_and(Consensus::is_joint),
+            is_leader: self.is_leader(),
+            is_voter: self.consensus.as_ref().is_some_and(Consensus::is_voter),
             leader: self.leader_name(),
-            term: self.council.as_ref().map_or(0, Council::term),
-            index: self.page.index,
-            foundation: self.page.foundation.number,
-            open: agreed.open.len() as u64,
-            out: agreed.out().count() as u64,
-            last_grant: agreed.last_grant,
-            slept_ms: self.swim.slept(),
+            term: self.consensus.as_ref().map_or(0, Consensus::term),
+            index: self.persistent.index,
+            group_number: self.persistent.group_id.number,
+            open_requests: cluster_state.open_requests.len() as u64,
+            machines_out: cluster_state.machines_out().count() as u64,
+            last_approval: cluster_state.last_approval,
+            stalled_ms: self.swim.stalled_ms(),
             fenced: self.fenced,
-            strange: self.strange,
-            ..Figures::default()
+            unexpected_messages: self.unexpected_messages,
+            ..Metrics::default()
         }
     }
 
-    pub fn leads(&self) -> bool {
-        self.council.as_ref().is_some_and(Council::leads_for_sure)
+    pub fn is_leader(&self) -> bool {
+        self.consensus.as_ref().is_some_and(Consensus::has_confirmed_leadership)
     }
 
     // ---- What comes in.
 
     /// How this call agent is.
-    pub fn status(&mut self, status: Status) {
+    pub fn set_status(&mut self, status: Status) {
         self.own = status;
     }
 
     /// Time has passed. Comes at least every [`TICK`], and ahead of messages where the process may have
     /// slept.
-    pub fn wake(&mut self, now: Millis) {
-        if let Some(away) = self.swim.wake(now) {
+    pub fn detect_stall(&mut self, now: Millis) {
+        if let Some(stalled_for) = self.swim.detect_stall(now) {
             // What was asked before may have been answered long ago.
-            self.begin = None;
-            self.streams.woke(now);
-            self.leader_heard += away;
+            self.leave_request = None;
+            self.streams.stall_detected(now);
+            self.leader_seen_at += stalled_for;
             for peer in self.peers.values_mut() {
-                peer.since += away;
+                peer.since += stalled_for;
             }
-            self.log(format!("fleet: slept for {away} ms, others are doubted later"));
+            self.log(format!("fleet: slept for {stalled_for} ms, others are doubted later"));
         }
     }
 
     pub fn tick(&mut self, now: Millis) {
-        self.wake(now);
-        let found = self.swim.tick(now);
-        self.found(now, found);
-        self.look_at_members(now);
-        self.call_back(now);
-        self.found_council(now);
-        self.tick_council(now);
-        self.follow(now);
-        self.ask_on(now);
-        self.do_lead(now);
+        self.detect_stall(now);
+        let output = self.swim.tick(now);
+        self.apply_swim_output(now, output);
+        self.refresh_peers(now);
+        self.probe_dead_member(now);
+        self.found_group(now);
+        self.tick_consensus(now);
+        self.send_status(now);
+        self.retry_requests(now);
+        self.run_leader_duties(now);
         self.renew_lease(now);
-        self.look_at_self(now);
-        self.hold();
-        self.keep();
+        self.update_local_maintenance(now);
+        self.update_held_servers();
+        self.persist();
     }
 
     /// A frame of another member. `false`: the link is to be closed, a refusal is among the effects.
-    pub fn received(&mut self, now: Millis, envelope: Envelope) -> bool {
-        self.wake(now);
-        let Envelope { cluster, from, foundation, payload, minor } = envelope;
+    pub fn receive(&mut self, now: Millis, envelope: Envelope) -> bool {
+        self.detect_stall(now);
+        let Envelope { cluster, from, group_id, payload, minor } = envelope;
         let (to, me) = (from.address, self.me().clone());
         let refuse = |node: &mut Node, why: String| {
-            node.log_refusal(now, format!("fleet: {} at {to} is refused: {why}", from.name));
-            node.send(to, Payload::Refused(why));
+            node.log_rejection(now, format!("fleet: {} at {to} is refused: {why}", from.name));
+            node.send(to, Payload::Rejected(why));
             false
         };
-        if let Payload::Refused(why) = payload {
-            self.log_refusal(now, format!("fleet: {} at {to} refuses us: {why}", from.name));
+        if let Payload::Rejected(why) = payload {
+            self.log_rejection(now, format!("fleet: {} at {to} refuses us: {why}", from.name));
             return false;
         }
-        if cluster != self.setup.cluster {
-            return refuse(self, format!("this is cluster {}, not {cluster}", self.setup.cluster));
+        if cluster != self.config.cluster {
+            return refuse(self, format!("this is cluster {}, not {cluster}", self.config.cluster));
         }
         if from.name == me.name {
             return refuse(self, format!("the name {} is taken", me.name));
         }
-        let spoken = self.page.agreed.spoken;
-        if minor < spoken {
+        let required_minor = self.persistent.cluster_state.required_minor;
+        if minor < required_minor {
             return refuse(
                 self,
-                format!("version {MAJOR}.{minor} is spoken there, and the log holds {MAJOR}.{spoken}"),
+                format!(
+                    "version {MAJOR}.{minor} is spoken there, and the log holds {MAJOR}.{required_minor}"
+                ),
             );
         }
         if let Some(peer) = self.peers.get_mut(&from.name).filter(|peer| peer.member.boot == from.boot) {
@@ -446,104 +450,110 @@
         let of_council = matches!(
             payload,
             Payload::Raft(_)
-                | Payload::Follow { .. }
-                | Payload::State { .. }
-                | Payload::Ask { .. }
-                | Payload::Told { .. }
-                | Payload::Renew { .. }
-                | Payload::Renewed { .. }
-                | Payload::Copies(_)
+                | Payload::StatusReport { .. }
+                | Payload::StateUpdate { .. }
+                | Payload::Request { .. }
+                | Payload::Response { .. }
+                | Payload::RenewLease { .. }
+                | Payload::LeaseRenewed { .. }
+                | Payload::Replication(_)
         );
-        if !self.adopt(now, &from, foundation) && of_council {
-            self.strange += 1;
+        if !self.adopt_group(now, &from, group_id) && of_council {
+            self.unexpected_messages += 1;
             return true;
         }
         match payload {
             Payload::Hello => {
-                let welcome = self.welcome(&from, false);
-                self.keep();
+                let welcome = self.build_welcome(&from, false);
+                self.persist();
                 self.send(to, welcome);
-                let found = self.swim.met(now, &from);
-                self.found(now, found);
+                let output = self.swim.announce(now, &from);
+                self.apply_swim_output(now, output);
             }
-            Payload::Welcome { about, life, fresh, back } => {
-                if !back {
-                    let welcome = self.welcome(&from, true);
-                    self.keep();
+            Payload::Welcome { recipient, incarnation, disk_is_current, is_reply } => {
+                if !is_reply {
+                    let welcome = self.build_welcome(&from, true);
+                    self.persist();
                     self.send(to, welcome);
                 }
                 // Of a disk that is ours no more, and of a start before this one, nothing counts.
-                if about == (self.page.node, me.boot) {
-                    self.welcomed(now, &from, life, fresh);
+                if recipient == (self.persistent.node, me.boot) {
+                    self.handle_welcome(now, &from, incarnation, disk_is_current);
                 }
-                let found = self.swim.met(now, &from);
-                self.found(now, found);
+                let output = self.swim.announce(now, &from);
+                self.apply_swim_output(now, output);
             }
-            Payload::Refused(_) => {}
+            Payload::Rejected(_) => {}
             Payload::Gossip(bytes) => {
-                let found = self.swim.received(now, &bytes);
-                self.found(now, found);
+                let output = self.swim.receive(now, &bytes);
+                self.apply_swim_output(now, output);
             }
-            Payload::Raft(bytes) => self.raft(now, &from, &bytes),
-            Payload::Follow { known, status } => {
+            Payload::Raft(bytes) => self.handle_raft(now, &from, &bytes),
+            Payload::StatusReport { known_index, status } => {
                 if let Some(peer) = self.peers.get_mut(&from.name) {
                     peer.status = Some((status, now));
                 }
-                let newer = (known < self.page.index).then(|| self.agreed_bytes());
-                let (index, leader) = (self.page.index, self.leader_name());
-                self.send(to, Payload::State { index, leader, agreed: newer });
+                let newer = (known_index < self.persistent.index).then(|| self.encoded_state());
+                let (index, leader) = (self.persistent.index, self.leader_name());
+                self.send(to, Payload::StateUpdate { index, leader, cluster_state: newer });
             }
-            Payload::State { index, leader, agreed } => self.state(now, &from, index, leader, agreed),
-            Payload::Ask { id, ask } => self.asked(id, ask, Asker::At(to)),
-            Payload::Told { id, told } => self.told(id, told),
+            Payload::StateUpdate { index, leader, cluster_state } => {
+                self.handle_state_update(now, &from, index, leader, cluster_state)
+            }
+            Payload::Request { id, request } => self.handle_request(id, request, Requester::Remote(to)),
+            Payload::Response { id, response } => self.handle_response(id, response),
             Payload::Leaving => {
                 if let Some(peer) = self.peers.get_mut(&from.name) {
-                    peer.left = Some(from.life);
+                    peer.left_incarnation = Some(from.incarnation);
                 }
             }
-            Payload::Renew { asked, writes, holds } => self.renew(now, &from, asked, &writes, holds),
-            Payload::Renewed { boot, asked } => self.renewed(&from, boot, asked),
-            Payload::Copies(bytes) => self.effects.push(Effect::Copies { from: Box::new(from), bytes }),
+            Payload::RenewLease { requested_at, owned_streams, held_replicas } => {
+                self.handle_lease_renewal(now, &from, requested_at, &owned_streams, held_replicas)
+            }
+            Payload::LeaseRenewed { boot, requested_at } => self.lease_renewed(&from, boot, requested_at),
+            Payload::Replication(bytes) => {
+                self.effects.push(Effect::Replication { from: Box::new(from), bytes })
+            }
         }
-        self.turn_council(now);
-        self.look_at_self(now);
-        self.hold();
-        self.keep();
+        self.process_consensus(now);
+        self.update_local_maintenance(now);
+        self.update_held_servers();
+        self.persist();
         true
     }
 
     /// Staff, by way of this member, want something. [`Effect::Told`] comes once, in a bounded time.
-    pub fn ask(&mut self, now: Millis, ask: Ask) -> CommandId {
+    pub fn submit(&mut self, now: Millis, request: LeaderRequest) -> CommandId {
         self.count += 1;
         let id = CommandId { origin: self.me().boot, count: self.count };
-        if self.asks.len() >= MOST_ASKS {
-            let told = Told::Outcome(Err(Refusal::TooMany("commands under way".into())));
-            self.effects.push(Effect::Told { id, told });
+        if self.pending_requests.len() >= MAX_PENDING_REQUESTS {
+            let response = LeaderResponse::Outcome(Err(Rejection::LimitReached("commands under way".into())));
+            self.effects.push(Effect::Response { id, response });
             return id;
         }
-        self.asks.insert(id, Asked { ask, since: now, sent: None });
-        self.ask_on(now);
+        self.pending_requests.insert(id, PendingRequest { request, since: now, sent: None });
+        self.retry_requests(now);
         id
     }
 
     /// Ends in order: others hear of it, and the lead is given away.
-    pub fn leave(&mut self, now: Millis) {
-        let voters = &self.page.agreed.voters;
-        let others = voters.iter().filter(|(id, _)| **id != self.page.node);
+    pub fn leave_cluster(&mut self, now: Millis) {
+        let voters = &self.persistent.cluster_state.voters;
+        let others = voters.iter().filter(|(id, _)| **id != self.persistent.node);
         let next = others
             .filter(|(_, voter)| self.peers.get(&voter.name).is_some_and(|peer| peer.health == Health::Alive))
             .map(|(id, _)| *id)
             .next();
-        if let (Some(council), Some(next)) = (self.council.as_mut().filter(|c| c.leads()), next) {
-            council.hand_over(next);
+        if let (Some(consensus), Some(next)) = (self.consensus.as_mut().filter(|c| c.is_leader()), next) {
+            consensus.transfer_leadership(next);
         }
-        self.turn_council(now);
+        self.process_consensus(now);
         for to in self.addresses() {
             self.send(to, Payload::Leaving);
         }
-        let found = self.swim.leave(now);
-        self.found(now, found);
-        self.keep();
+        let output = self.swim.leave(now);
+        self.apply_swim_output(now, output);
+        self.persist();
     }
 
     /// Staff found a new council, since the majority of the old one is lost for good. What it had agreed and
@@ -551,17 +561,17 @@
     ///
     /// # Errors
     /// There is a leader, or there never was a council.
-    pub fn refound(&mut self, now: Millis) -> Result<(), Refusal> {
-        if !self.page.foundation.is_some() {
-            return Err(Refusal::Not("no council was ever known here".into()));
+    pub fn refound(&mut self, now: Millis) -> Result<(), Rejection> {
+        if !self.persistent.group_id.is_some() {
+            return Err(Rejection::NotAllowed("no council was ever known here".into()));
         }
-        if self.leader_name().is_some() && now < self.leader_heard + LEADERLESS {
-            return Err(Refusal::Not("the council has a leader, and is not lost".into()));
+        if self.leader_name().is_some() && now < self.leader_seen_at + LEADER_TIMEOUT {
+            return Err(Rejection::NotAllowed("the council has a leader, and is not lost".into()));
         }
-        let number = self.page.foundation.number + 1;
-        self.page.agreed.last_grant += REFOUNDED;
-        self.page.agreed.version += 1;
-        self.begin_council(now, number);
+        let number = self.persistent.group_id.number + 1;
+        self.persistent.cluster_state.last_approval += REFOUND_APPROVAL_GAP;
+        self.persistent.cluster_state.version += 1;
+        self.create_group(now, number);
         self.log(format!("fleet: council {number} is founded by hand"));
         Ok(())
     }
@@ -569,17 +579,17 @@
     // ---- What goes out.
 
     /// Has the page kept where anything differs that a start would miss. The place in the log alone does not
-    /// count, nor does fleet time: a voter's log has them, and the others are told.
-    fn keep(&mut self) {
-        let (page, kept) = (&self.page, &self.kept);
-        let same = (page.node, page.life, page.foundation, page.left)
-            == (kept.node, kept.life, kept.foundation, kept.left)
-            && page.agreed.version == kept.agreed.version
-            && page.disks == kept.disks
-            && page.lives == kept.lives;
+    /// count, nor does fleet time: a voter's log has them, and the others are response.
+    fn persist(&mut self) {
+        let (page, persisted) = (&self.persistent, &self.last_persisted);
+        let same = (page.node, page.incarnation, page.group_id, page.away_approval)
+            == (persisted.node, persisted.incarnation, persisted.group_id, persisted.away_approval)
+            && page.cluster_state.version == persisted.cluster_state.version
+            && page.seen_disks == persisted.seen_disks
+            && page.incarnations == persisted.incarnations;
         if !same {
-            self.kept = self.page.clone();
-            self.effects.push(Effect::Keep(Box::new(self.page.clone())));
+            self.last_persisted = self.persistent.clone();
+            self.effects.push(Effect::Persist(Box::new(self.persistent.clone())));
         }
     }
 
@@ -588,11 +598,12 @@
     }
 
     /// Whoever is refused greets again every second.
-    fn log_refusal(&mut self, now: Millis, line: String) {
-        self.strange += 1;
-        self.refusals.retain(|_, at| now < *at + REFUSED_AGAIN);
-        if !self.refusals.contains_key(&line) && self.refusals.len() < MOST_REFUSED {
-            self.refusals.insert(line.clone(), now);
+    fn log_rejection(&mut self, now: Millis, line: String) {
+        self.unexpected_messages += 1;
+        self.logged_rejections.retain(|_, at| now < *at + REJECTION_LOG_INTERVAL);
+        if !self.logged_rejections.contains_key(&line) && self.logged_rejections.len() < MAX_LOGGED_REJECTIONS
+        {
+            self.logged_rejections.insert(line.clone(), now);
             self.log(line);
         }
     }
--- a/fleet/src/swim.rs
+++ b/fleet/src/swim.rs
@@ -27,7 +27,7 @@
     /// Of its disk: another one where the machine came back without it. The raft engine knows it by this.
     pub node: u64,
     /// Grows with every start and every return from the dead.
-    pub life: u64,
+    pub incarnation: u64,
     /// Drawn at every start, so that two starts from one copy of a disk differ.
     pub boot: u64,
 }
@@ -37,39 +37,39 @@
 /// copied but a pointer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "Member", into = "Member")]
-struct Known {
+struct KnownMember {
     key: u64,
     member: Rc<Member>,
 }
 
-impl From<Member> for Known {
+impl From<Member> for KnownMember {
     fn from(member: Member) -> Self {
         let mut key = DefaultHasher::new();
         member.name.hash(&mut key);
-        Known { key: key.finish(), member: Rc::new(member) }
+        KnownMember { key: key.finish(), member: Rc::new(member) }
     }
 }
 
-impl From<Known> for Member {
-    fn from(known: Known) -> Self {
+impl From<KnownMember> for Member {
+    fn from(known: KnownMember) -> Self {
         Rc::unwrap_or_clone(known.member)
     }
 }
 
-impl PartialEq for Known {
+impl PartialEq for KnownMember {
     fn eq(&self, other: &Self) -> bool {
         self.key == other.key && (Rc::ptr_eq(&self.member, &other.member) || self.member == other.member)
     }
 }
 
-impl Eq for Known {}
+impl Eq for KnownMember {}
 
-impl Identity for Known {
+impl Identity for KnownMember {
     type Addr = u64;
 
     fn renew(&self) -> Option<Self> {
-        let member = Member { life: self.member.life + 1, ..Member::clone(&self.member) };
-        Some(Known { key: self.key, member: Rc::new(member) })
+        let member = Member { incarnation: self.member.incarnation + 1, ..Member::clone(&self.member) };
+        Some(KnownMember { key: self.key, member: Rc::new(member) })
     }
 
     fn addr(&self) -> u64 {
@@ -77,7 +77,7 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.member.life, self.member.node) > (other.member.life, other.member.node)
+        (self.member.incarnation, self.member.node) > (other.member.incarnation, other.member.node)
     }
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl Health {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Health::Alive => "alive",
             Health::Suspect => "suspect",
@@ -103,64 +103,64 @@
 
 /// A member is asked every so often; its answer is waited for, then that of others by way of others, then it
 /// is suspect, and then dead.
-const PROBE_EVERY: Duration = Duration::from_millis(600);
-const ANSWER_WITHIN: Duration = Duration::from_millis(250);
-const SUSPECT_FOR: Duration = Duration::from_millis(2_400);
-const GOSSIP_EVERY: Duration = Duration::from_millis(300);
-const ANNOUNCE_EVERY: Duration = Duration::from_secs(10);
+const PROBE_PERIOD: Duration = Duration::from_millis(600);
+const PROBE_RTT: Duration = Duration::from_millis(250);
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(2_400);
+const GOSSIP_PERIOD: Duration = Duration::from_millis(300);
+const ANNOUNCE_PERIOD: Duration = Duration::from_secs(10);
 /// Those that are down are told of us so often, so that a cut that heals is found.
-const CALL_BACK_EVERY: Duration = Duration::from_secs(2);
+const ANNOUNCE_TO_DOWN_PERIOD: Duration = Duration::from_secs(2);
 /// A dead one is forgotten by the engine after this.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+const FORGET_DOWN_AFTER: Duration = Duration::from_secs(60);
 /// A message between members, at most.
-const LARGEST: usize = 8 * 1024;
+const MAX_PACKET_BYTES: usize = 8 * 1024;
 /// Looks come far more often than this; what is missing has been slept through.
-pub const SLEPT: Millis = 400;
+pub const STALL_THRESHOLD_MS: Millis = 400;
 
 pub struct Swim {
-    foca: Foca<Known, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
-    runtime: AccumulatingRuntime<Known>,
-    timers: BTreeMap<(Millis, u64), Timer<Known>>,
+    foca: Foca<KnownMember, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
+    runtime: AccumulatingRuntime<KnownMember>,
+    timers: BTreeMap<(Millis, u64), Timer<KnownMember>>,
     count: u64,
-    looked: Millis,
+    last_checked: Millis,
     /// Time that was slept through, in all.
-    slept: Millis,
+    stalled_ms: Millis,
 }
 
 /// What came of a look.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct SwimOutput {
     pub send: Vec<(Member, Vec<u8>)>,
     pub up: Vec<Member>,
     pub down: Vec<Member>,
     /// We were taken for dead, and live on as this.
-    pub renewed: bool,
+    pub identity_renewed: bool,
 }
 
 impl Swim {
     pub fn new(now: Millis, me: Member, seed: u64) -> Self {
-        let few = |number| NonZeroUsize::new(number).unwrap_or(NonZeroUsize::MIN);
-        let params = |frequency, number| foca::PeriodicParams { frequency, num_members: few(number) };
+        let nonzero = |number| NonZeroUsize::new(number).unwrap_or(NonZeroUsize::MIN);
+        let params = |frequency, number| foca::PeriodicParams { frequency, num_members: nonzero(number) };
         let config = Config {
-            probe_period: PROBE_EVERY,
-            probe_rtt: ANSWER_WITHIN,
-            num_indirect_probes: few(3),
+            probe_period: PROBE_PERIOD,
+            probe_rtt: PROBE_RTT,
+            num_indirect_probes: nonzero(3),
             max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: SUSPECT_FOR,
-            remove_down_after: Some(FORGET_AFTER),
-            max_packet_size: few(LARGEST),
+            suspect_to_down_after: SUSPECT_TIMEOUT,
+            remove_down_after: Some(FORGET_DOWN_AFTER),
+            max_packet_size: nonzero(MAX_PACKET_BYTES),
             notify_down_members: true,
-            periodic_announce: Some(params(ANNOUNCE_EVERY, 1)),
-            periodic_announce_to_down_members: Some(params(CALL_BACK_EVERY, 2)),
-            periodic_gossip: Some(params(GOSSIP_EVERY, 3)),
+            periodic_announce: Some(params(ANNOUNCE_PERIOD, 1)),
+            periodic_announce_to_down_members: Some(params(ANNOUNCE_TO_DOWN_PERIOD, 2)),
+            periodic_gossip: Some(params(GOSSIP_PERIOD, 3)),
         };
         Swim {
             foca: Foca::new(me.into(), config, StdRng::seed_from_u64(seed), PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
             count: 0,
-            looked: now,
-            slept: 0,
+            last_checked: now,
+            stalled_ms: 0,
         }
     }
 
@@ -169,8 +169,8 @@
     }
 
     /// Time slept through since the start.
-    pub fn slept(&self) -> Millis {
-        self.slept
+    pub fn stalled_ms(&self) -> Millis {
+        self.stalled_ms
     }
 
     /// Members that the engine knows, with itself.
@@ -187,62 +187,64 @@
     }
 
     /// Another life begins, after one that others know of.
-    pub fn live_on(&mut self, now: Millis, me: Member) -> Found {
+    pub fn change_identity(&mut self, now: Millis, me: Member) -> SwimOutput {
         // Refused where it is the same one, which changes nothing.
         let _ = self.foca.change_identity(me.into(), &mut self.runtime);
-        self.suspect_anew();
-        self.drain(now)
+        self.renew_suspicions();
+        self.collect_output(now)
     }
 
     /// The engine's timers are of one life: a suspicion of the life before would last for ever. Each is held
     /// anew, so that whom it concerns hears of it and speaks, or is dead in time.
-    fn suspect_anew(&mut self) {
-        let suspect = |member: &&foca::Member<Known>| member.state() == foca::State::Suspect;
-        let anew = |member: &foca::Member<Known>| {
+    fn renew_suspicions(&mut self) {
+        let suspect = |member: &&foca::Member<KnownMember>| member.state() == foca::State::Suspect;
+        let renew = |member: &foca::Member<KnownMember>| {
             let incarnation = member.incarnation().saturating_add(1);
             foca::Member::new(member.id().clone(), incarnation, foca::State::Suspect)
         };
-        let all: Vec<_> = self.foca.iter_membership_state().filter(suspect).map(anew).collect();
+        let all: Vec<_> = self.foca.iter_membership_state().filter(suspect).map(renew).collect();
         // What is no news changes nothing.
         let _ = self.foca.apply_many(all.into_iter(), true, &mut self.runtime);
     }
 
     /// A member was met on a link.
-    pub fn met(&mut self, now: Millis, member: &Member) -> Found {
+    pub fn announce(&mut self, now: Millis, member: &Member) -> SwimOutput {
         let _ = self.foca.announce(member.clone().into(), &mut self.runtime);
-        self.drain(now)
+        self.collect_output(now)
     }
 
-    pub fn received(&mut self, now: Millis, bytes: &[u8]) -> Found {
+    pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> SwimOutput {
         // Spoilt words, and words to one of our lives before, settle nothing.
         let _ = self.foca.handle_data(bytes, &mut self.runtime);
-        self.drain(now)
+        self.collect_output(now)
     }
 
     /// Says farewell: others need not suspect us.
-    pub fn leave(&mut self, now: Millis) -> Found {
+    pub fn leave(&mut self, now: Millis) -> SwimOutput {
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.drain(now)
+        self.collect_output(now)
     }
 
     /// Notes how long it was not looked, ahead of anything that has come meanwhile; says how long that was,
     /// where it was too long.
-    pub fn wake(&mut self, now: Millis) -> Option<Millis> {
-        let away = now.saturating_sub(self.looked);
-        self.looked = now;
-        if away <= SLEPT {
+    pub fn detect_stall(&mut self, now: Millis) -> Option<Millis> {
+        let stalled_for = now.saturating_sub(self.last_checked);
+        self.last_checked = now;
+        if stalled_for <= STALL_THRESHOLD_MS {
             return None;
         }
-        self.slept += away;
+        self.stalled_ms += stalled_for;
         self.timers = std::mem::take(&mut self.timers)
             .into_iter()
-            .map(|((at, count), timer)| ((at.max(now.saturating_sub(away)) + away, count), timer))
+            .map(|((at, count), timer)| {
+                ((at.max(now.saturating_sub(stalled_for)) + stalled_for, count), timer)
+            })
             .collect();
-        Some(away)
+        Some(stalled_for)
     }
 
-    pub fn tick(&mut self, now: Millis) -> Found {
-        let mut found = Found::default();
+    pub fn tick(&mut self, now: Millis) -> SwimOutput {
+        let mut output = SwimOutput::default();
         while let Some((&(at, count), _)) = self.timers.first_key_value() {
             if at > now {
                 break;
@@ -251,31 +253,31 @@
                 // A timer of a probe that was overtaken says so, and nothing follows.
                 let _ = self.foca.handle_timer(timer, &mut self.runtime);
             }
-            let more = self.drain(now);
-            found.send.extend(more.send);
-            found.up.extend(more.up);
-            found.down.extend(more.down);
-            found.renewed |= more.renewed;
+            let more = self.collect_output(now);
+            output.send.extend(more.send);
+            output.up.extend(more.up);
+            output.down.extend(more.down);
+            output.identity_renewed |= more.identity_renewed;
         }
-        found
+        output
     }
 
-    fn drain(&mut self, now: Millis) -> Found {
-        let mut found = self.drain_once(now);
-        if found.renewed {
-            self.suspect_anew();
-            let more = self.drain_once(now);
-            found.send.extend(more.send);
-            found.up.extend(more.up);
-            found.down.extend(more.down);
+    fn collect_output(&mut self, now: Millis) -> SwimOutput {
+        let mut output = self.collect_output_once(now);
+        if output.identity_renewed {
+            self.renew_suspicions();
+            let more = self.collect_output_once(now);
+            output.send.extend(more.send);
+            output.up.extend(more.up);
+            output.down.extend(more.down);
         }
-        found
+        output
     }
 
-    fn drain_once(&mut self, now: Millis) -> Found {
-        let mut found = Found::default();
+    fn collect_output_once(&mut self, now: Millis) -> SwimOutput {
+        let mut output = SwimOutput::default();
         while let Some((to, bytes)) = self.runtime.to_send() {
-            found.send.push((to.into(), bytes.to_vec()));
+            output.send.push((to.into(), bytes.to_vec()));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.count += 1;
@@ -283,13 +285,13 @@
         }
         while let Some(told) = self.runtime.to_notify() {
             match told {
-                OwnedNotification::MemberUp(member) => found.up.push(member.into()),
-                OwnedNotification::MemberDown(member) => found.down.push(member.into()),
-                OwnedNotification::Rename(_, member) => found.up.push(member.into()),
-                OwnedNotification::Rejoin(_) => found.renewed = true,
+                OwnedNotification::MemberUp(member) => output.up.push(member.into()),
+                OwnedNotification::MemberDown(member) => output.down.push(member.into()),
+                OwnedNotification::Rename(_, member) => output.up.push(member.into()),
+                OwnedNotification::Rejoin(_) => output.identity_renewed = true,
                 _ => {}
             }
         }
-        found
+        output
     }
 }
--- a/fleet/tests/agreed.rs
+++ b/fleet/tests/agreed.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeSet;
 
-use steprelay_fleet::agreed::{Agreed, Command, CommandId, Entry, Outcome, Refusal, Voter};
-use steprelay_fleet::work::{Event, Kind, State};
+use steprelay_fleet::cluster_state::{ClusterState, Command, CommandId, LogEntry, Outcome, Rejection, Voter};
+use steprelay_fleet::maintenance::{Event, State, TargetKind};
 
 #[derive(Default)]
 struct Log {
-    agreed: Agreed,
+    cluster_state: ClusterState,
     count: u64,
 }
 
@@ -26,13 +26,13 @@
     fn say(&mut self, command: Command) -> Outcome {
         self.count += 1;
         let id = CommandId { origin: 1, count: self.count };
-        self.agreed.apply(&Entry { id, at_ms: self.count * 1_000, command })
+        self.cluster_state.apply(&LogEntry { id, at_ms: self.count * 1_000, command })
     }
 
     fn add(&mut self, machine: &str, after: &[&str]) -> Outcome {
         self.say(Command::Add {
             machine: machine.into(),
-            kind: Kind::Agent,
+            kind: TargetKind::Agent,
             zone: String::new(),
             reason: String::new(),
             for_ms: 5_000,
@@ -42,44 +42,47 @@
     }
 
     /// Decided by the present state.
-    fn grant(&mut self, machine: &str, most_out: u32) -> Outcome {
-        let basis = self.agreed.version;
-        self.say(Command::Grant { machine: machine.into(), basis, most_out })
+    fn approval(&mut self, machine: &str, max_out: u32) -> Outcome {
+        let base_version = self.cluster_state.version;
+        self.say(Command::Approve { machine: machine.into(), base_version, max_out })
     }
 
-    fn about(&mut self, machine: &str, grant: u64, event: Event) -> Outcome {
-        self.say(Command::About { machine: machine.into(), grant, event })
+    fn about(&mut self, machine: &str, approval: u64, event: Event) -> Outcome {
+        self.say(Command::ReportEvent { machine: machine.into(), approval, event })
     }
 
     fn state(&self, machine: &str) -> Option<State> {
-        self.agreed.item(machine).map(|item| item.state)
+        self.cluster_state.open_request(machine).map(|item| item.state)
     }
 }
 
 #[test]
 fn whoever_leads_the_log_holds_to_its_bounds() {
     let mut log = Log::new();
-    assert_eq!(log.grant("n1", 1), Ok(()));
-    assert_eq!(log.grant("n3", 1), Err(Refusal::TooManyOut(1, 1)));
-    assert_eq!(log.grant("n2", 2), Err(Refusal::OtherZone("z1".into())));
-    assert_eq!(log.grant("n3", 2), Ok(()), "of the same zone");
-    assert_eq!(log.grant("n5", 2), Err(Refusal::TooManyOut(2, 2)));
-    let basis = log.agreed.version - 1;
-    let version = log.agreed.version;
-    let stale = log.say(Command::Grant { machine: "n5".into(), basis, most_out: 9 });
-    assert_eq!(stale, Err(Refusal::Stale { basis, version }));
+    assert_eq!(log.approval("n1", 1), Ok(()));
+    assert_eq!(log.approval("n3", 1), Err(Rejection::TooManyOut(1, 1)));
+    assert_eq!(log.approval("n2", 2), Err(Rejection::OtherZone("z1".into())));
+    assert_eq!(log.approval("n3", 2), Ok(()), "of the same zone");
+    assert_eq!(log.approval("n5", 2), Err(Rejection::TooManyOut(2, 2)));
+    let base_version = log.cluster_state.version - 1;
+    let version = log.cluster_state.version;
+    let stale = log.say(Command::Approve { machine: "n5".into(), base_version, max_out: 9 });
+    assert_eq!(stale, Err(Rejection::StaleVersion { base_version, version }));
 }
 
 #[test]
 fn an_older_number_moves_nothing() {
     let mut log = Log::new();
-    log.grant("n1", 1).expect("granted");
+    log.approval("n1", 1).expect("granted");
     log.about("n1", 1, Event::Lapse).expect("lapses");
-    log.grant("n1", 1).expect("granted again");
-    assert_eq!(log.agreed.item("n1").and_then(|item| item.grant), Some(2));
+    log.approval("n1", 1).expect("granted again");
+    assert_eq!(log.cluster_state.open_request("n1").and_then(|item| item.approval), Some(2));
     for event in Event::ALL {
         let fenced = log.about("n1", 1, event);
-        assert!(matches!(fenced, Err(Refusal::Fenced { told: 1, present: 2, .. })), "{event:?}: {fenced:?}");
+        assert!(
+            matches!(fenced, Err(Rejection::Fenced { told: 1, present: 2, .. })),
+            "{event:?}: {fenced:?}"
+        );
     }
     assert_eq!(log.about("n1", 2, Event::Begin), Ok(()));
     assert_eq!(log.state("n1"), Some(State::Draining));
@@ -90,12 +93,12 @@
     let mut log = Log::new();
     let id = CommandId { origin: 9, count: 1 };
     let command = Command::Extend { machine: "n1".into(), more_ms: 1_000 };
-    let entry = Entry { id, at_ms: 0, command };
-    assert_eq!(log.agreed.apply(&entry), Ok(()));
-    let once = log.agreed.clone();
-    assert_eq!(log.agreed.apply(&entry), Ok(()));
-    assert_eq!(log.agreed, once);
-    assert_eq!(log.agreed.item("n1").map(|item| item.for_ms), Some(6_000));
+    let entry = LogEntry { id, at_ms: 0, command };
+    assert_eq!(log.cluster_state.apply(&entry), Ok(()));
+    let once = log.cluster_state.clone();
+    assert_eq!(log.cluster_state.apply(&entry), Ok(()));
+    assert_eq!(log.cluster_state, once);
+    assert_eq!(log.cluster_state.open_request("n1").map(|item| item.for_ms), Some(6_000));
 }
 
 #[test]
@@ -105,15 +108,15 @@
         let address = "127.0.0.1:1".parse().expect("an address");
         (number, Voter { name: format!("n{number}"), zone: "z1".into(), address })
     });
-    log.agreed.voters_are(&[1, 3, 5], voters.to_vec());
-    assert_eq!(log.grant("n1", 9), Ok(()));
-    assert_eq!(log.grant("n3", 9), Err(Refusal::Majority));
+    log.cluster_state.set_voters(&[1, 3, 5], voters.to_vec());
+    assert_eq!(log.approval("n1", 9), Ok(()));
+    assert_eq!(log.approval("n3", 9), Err(Rejection::QuorumAtRisk));
     // Its vote has moved to another one: two of three are left with it.
     let moved = (7, Voter { name: "n6".into(), ..voters[0].1.clone() });
-    log.agreed.voters_are(&[3, 5, 7], vec![moved]);
-    assert!(log.agreed.is_retired(1) && !log.agreed.is_retired(7));
-    assert_eq!(log.grant("n3", 9), Ok(()));
-    assert_eq!(log.grant("n5", 9), Err(Refusal::Majority));
+    log.cluster_state.set_voters(&[3, 5, 7], vec![moved]);
+    assert!(log.cluster_state.is_retired(1) && !log.cluster_state.is_retired(7));
+    assert_eq!(log.approval("n3", 9), Ok(()));
+    assert_eq!(log.approval("n5", 9), Err(Rejection::QuorumAtRisk));
 }
 
 #[test]
@@ -124,10 +127,10 @@
     }
     log.add("n1", &["n2"]).expect("asked for");
     log.add("n2", &["n3"]).expect("asked for");
-    assert_eq!(log.add("n3", &["n1"]), Err(Refusal::AfterItself("n3".into())));
-    assert_eq!(log.grant("n1", 1), Err(Refusal::After("n2".into())));
+    assert_eq!(log.add("n3", &["n1"]), Err(Rejection::CyclicDependency("n3".into())));
+    assert_eq!(log.approval("n1", 1), Err(Rejection::WaitsFor("n2".into())));
     log.say(Command::Withdraw { machine: "n2".into() }).expect("withdrawn");
-    assert_eq!(log.grant("n1", 1), Ok(()));
+    assert_eq!(log.approval("n1", 1), Ok(()));
 }
 
 /// Whatever is said in whatever order: numbers grow, bounds hold, and nothing is kept of what is over for
@@ -146,22 +149,22 @@
                 1 => log.say(Command::Withdraw { machine }),
                 2 => log.say(Command::Finish { machine }),
                 3 | 4 => {
-                    let basis = log.agreed.version.saturating_sub(back);
-                    log.say(Command::Grant { machine, basis, most_out: 2 })
+                    let base_version = log.cluster_state.version.saturating_sub(back);
+                    log.say(Command::Approve { machine, base_version, max_out: 2 })
                 }
                 5 => log.say(Command::Extend { machine, more_ms: 1 }),
                 _ => {
-                    let grant = log.agreed.last_grant.saturating_sub(back);
-                    log.about(&machine, grant, Event::ALL[event])
+                    let approval = log.cluster_state.last_approval.saturating_sub(back);
+                    log.about(&machine, approval, Event::ALL[event])
                 }
             };
             let granted = matches!(kind, 3 | 4) && said.is_ok();
-            prop_assert!(log.agreed.last_grant == last + u64::from(granted));
-            last = log.agreed.last_grant;
-            let out: Vec<_> = log.agreed.out().collect();
+            prop_assert!(log.cluster_state.last_approval == last + u64::from(granted));
+            last = log.cluster_state.last_approval;
+            let out: Vec<_> = log.cluster_state.machines_out().collect();
             prop_assert!(out.len() <= 2);
             prop_assert!(out.iter().map(|item| &item.zone).collect::<BTreeSet<_>>().len() <= 1);
-            prop_assert!(log.agreed.over.len() <= 64);
+            prop_assert!(log.cluster_state.closed_requests.len() <= 64);
         }
     });
 }
@@ -170,18 +173,21 @@
 #[test]
 fn successions_follow_one_another_by_their_epochs() {
     let mut log = Log::default();
-    let succeed = |epoch, name: &str| Command::Succeed { stream: 7, epoch, name: name.into(), boot: 1 };
-    let settle = |epoch| Command::Settle { stream: 7, epoch };
-    let fenced = |outcome: Outcome| matches!(outcome, Err(Refusal::Fenced { .. }));
+    let succeed = |epoch, name: &str| Command::FailOver { stream: 7, epoch, name: name.into(), boot: 1 };
+    let settle = |epoch| Command::CloseStream { stream: 7, epoch };
+    let fenced = |outcome: Outcome| matches!(outcome, Err(Rejection::Fenced { .. }));
     assert!(fenced(log.say(settle(0))), "the first writer settles nothing");
     assert_eq!(log.say(succeed(1, "n1")), Ok(()));
     assert!(fenced(log.say(succeed(1, "n2"))), "one for each epoch");
     assert!(fenced(log.say(succeed(3, "n2"))));
     assert_eq!(log.say(succeed(2, "n2")), Ok(()));
-    assert_eq!((log.agreed.streams[&7].name.as_str(), log.agreed.epoch(7)), ("n2", Some(2)));
+    assert_eq!(
+        (log.cluster_state.stream_owners[&7].name.as_str(), log.cluster_state.epoch(7)),
+        ("n2", Some(2))
+    );
     assert!(fenced(log.say(settle(1))), "whoever was succeeded settles nothing");
     assert_eq!(log.say(settle(2)), Ok(()));
     assert!(fenced(log.say(settle(2))) && fenced(log.say(succeed(3, "n3"))), "it is over");
-    assert_eq!((log.agreed.epoch(7), log.agreed.epoch(8)), (None, Some(0)));
-    assert_eq!(log.agreed.spoken, 2, "members that speak less can't read it");
+    assert_eq!((log.cluster_state.epoch(7), log.cluster_state.epoch(8)), (None, Some(0)));
+    assert_eq!(log.cluster_state.required_minor, 2, "members that speak less can't read it");
 }
--- a/fleet/tests/fleet.rs
+++ b/fleet/tests/fleet.rs
@@ -2,10 +2,10 @@
 
 mod world;
 
-use steprelay_fleet::agreed::{Command, Refusal};
+use steprelay_fleet::cluster_state::{Command, Rejection};
+use steprelay_fleet::maintenance::{State, TargetKind};
+use steprelay_fleet::messages::{LeaderRequest, LeaderResponse, Payload};
 use steprelay_fleet::swim::{Health, Member, Swim};
-use steprelay_fleet::words::{Ask, Payload, Told};
-use steprelay_fleet::work::{Kind, State};
 use world::World;
 
 fn whole(seed: u64, size: usize) -> World {
@@ -27,8 +27,13 @@
             world.step();
             continue;
         };
-        let open: Vec<(String, State)> =
-            world.node(leader).agreed().open.iter().map(|i| (i.machine.clone(), i.state)).collect();
+        let open: Vec<(String, State)> = world
+            .node(leader)
+            .cluster_state()
+            .open_requests
+            .iter()
+            .map(|i| (i.machine.clone(), i.state))
+            .collect();
         if open.is_empty() {
             return true;
         }
@@ -54,8 +59,8 @@
     for place in 0..9 {
         assert_eq!(world.machines[place].left_by.len(), 1, "{}", world.name(place));
     }
-    let grants: Vec<u64> = world.ever_left.iter().map(|(grant, _)| *grant).collect();
-    assert!(grants.windows(2).all(|pair| pair[0] < pair[1]), "numbers grow: {grants:?}");
+    let approvals: Vec<u64> = world.ever_left.iter().map(|(approval, _)| *approval).collect();
+    assert!(approvals.windows(2).all(|pair| pair[0] < pair[1]), "numbers grow: {approvals:?}");
 }
 
 /// A member that begins anew still knows what was agreed: it told staff that nothing was open, and gave check
@@ -63,7 +68,7 @@
 #[test]
 fn one_that_begins_anew_forgets_nothing_of_what_was_agreed() {
     let mut world = whole(21, 5);
-    let (kind, zone) = (Kind::Server(1), String::new());
+    let (kind, zone) = (TargetKind::Server(1), String::new());
     let machine = "s-00000001".to_string();
     let asked = Command::Add {
         machine,
@@ -89,7 +94,7 @@
         for _ in 0..400 {
             world.step();
             assert!(holds(&world, old), "{}", world.logs());
-            assert_eq!(world.node(old).agreed().open.len(), 1, "{}", world.logs());
+            assert_eq!(world.node(old).cluster_state().open_requests.len(), 1, "{}", world.logs());
         }
     }
     assert!(world.logs().contains("begins anew"), "{}", world.logs());
@@ -108,7 +113,7 @@
     };
     for place in [0, 2, 4] {
         let early = pause(&mut world, 1, Some("an incident"));
-        assert!(matches!(early, Some(Err(Refusal::TooOld(..)))), "{early:?}");
+        assert!(matches!(early, Some(Err(Rejection::VersionTooOld(..)))), "{early:?}");
         assert_eq!(world.add(1, place), Some(Ok(())));
         let out = |world: &World| world.state_of(place, 1) == Some(State::Out);
         assert!(world.until(40_000, out), "{}", world.logs());
@@ -125,8 +130,11 @@
     world.run(10_000);
     assert_eq!(world.state_of(5, 1), Some(State::Requested), "nobody goes: {}", world.logs());
     let leader = world.leader().expect("one leads");
-    let explained = world.ask(leader, Ask::Explain("n6".into()));
-    assert_eq!(explained, Some(Told::Text("n6: not yet, because all work is paused: an incident".into())));
+    let explained = world.ask(leader, LeaderRequest::Explain("n6".into()));
+    assert_eq!(
+        explained,
+        Some(LeaderResponse::Text("n6: not yet, because all work is paused: an incident".into()))
+    );
     assert_eq!(pause(&mut world, 3, None), Some(Ok(())));
     assert!(roll(&mut world, 40_000), "{}", world.logs());
     // One that goes back to the older program can't read what is agreed, and is told.
@@ -165,11 +173,11 @@
     let mut world = whole(2, 3);
     assert_eq!(world.add(0, 1), Some(Ok(())));
     let again = world.add(2, 1).expect("an answer");
-    assert!(matches!(again, Err(Refusal::AskedAlready(..))), "{again:?}");
+    assert!(matches!(again, Err(Rejection::AlreadyRequested(..))), "{again:?}");
     let unknown = world.command(1, Command::Withdraw { machine: "n9".into() });
-    assert_eq!(unknown, Some(Err(Refusal::NoWork("n9".into()))));
-    let grant = world.command(1, Command::Grant { machine: "n2".into(), basis: 0, most_out: 9 });
-    assert!(matches!(grant, Some(Err(Refusal::Not(_)))), "{grant:?}");
+    assert_eq!(unknown, Some(Err(Rejection::NoRequest("n9".into()))));
+    let approval = world.command(1, Command::Approve { machine: "n2".into(), base_version: 0, max_out: 9 });
+    assert!(matches!(approval, Some(Err(Rejection::NotAllowed(_)))), "{approval:?}");
 }
 
 #[test]
@@ -182,7 +190,7 @@
     world.cuts.extend(deaf);
     assert!(
         world.until(8_000, |world| {
-            world.leader().is_some_and(|leader| world.state_of(4, leader) == Some(State::Granted))
+            world.leader().is_some_and(|leader| world.state_of(4, leader) == Some(State::Approved))
         }) || world.leader().is_some_and(|leader| world.state_of(4, leader) == Some(State::Requested))
     );
     let leader = world.leader().expect("there is one");
@@ -216,7 +224,7 @@
 /// the same grant where one was given and used.
 #[test]
 fn a_leader_that_dies_at_any_step_changes_nothing() {
-    let steps = [State::Requested, State::Granted, State::Draining, State::Out, State::Returning];
+    let steps = [State::Requested, State::Approved, State::Draining, State::Out, State::Returning];
     for (seed, step) in (40..).zip(steps) {
         let mut world = whole(seed, 6);
         assert_eq!(world.add(1, 5), Some(Ok(())));
@@ -229,7 +237,7 @@
             let machine = "n6".into();
             let local = world.now + world.machines[leader].skew;
             let node = world.machines[leader].node.as_mut().expect("it runs");
-            node.ask(local, Ask::Do(Command::Finish { machine }));
+            node.submit(local, LeaderRequest::Execute(Command::Finish { machine }));
         }
         assert!(world.until(40_000, |world| at(world, step)), "{step:?} {}", world.logs());
         let leader = world.leader().expect("one leads");
@@ -259,10 +267,10 @@
     world.heal();
     world.run(8_000);
     assert!(world.logs().contains("has another council of the same number, staff must choose"));
-    let number = |world: &World, place: usize| world.node(place).figures().foundation;
+    let number = |world: &World, place: usize| world.node(place).metrics().group_number;
     assert_eq!((number(&world, 2), number(&world, 3)), (2, 2));
     // The other one comes back without its directory, and the machine that followed neither with it.
-    assert!(world.until(20_000, |world| world.node(3).figures().leader.is_some()), "{}", world.logs());
+    assert!(world.until(20_000, |world| world.node(3).metrics().leader.is_some()), "{}", world.logs());
     world.kill(2);
     world.lose_disk(2);
     world.run(8_000);
@@ -278,7 +286,7 @@
     let mut world = whole(4, 6);
     assert_eq!(world.add(0, 5), Some(Ok(())));
     assert!(world.until(20_000, |world| {
-        world.leader().is_some_and(|leader| world.state_of(5, leader) == Some(State::Granted))
+        world.leader().is_some_and(|leader| world.state_of(5, leader) == Some(State::Approved))
     }));
     world.stall(5, 10_000);
     // Meanwhile it is withdrawn, and another machine is asked for.
@@ -298,7 +306,7 @@
     world.run(8_000);
     let minority = (0..9).filter(|place| place % 3 == 0);
     for place in minority {
-        assert!(!world.node(place).leads(), "{} leads without a majority", world.name(place));
+        assert!(!world.node(place).is_leader(), "{} leads without a majority", world.name(place));
     }
     assert!(
         world.until(8_000, |world| world.leader().is_some_and(|leader| leader % 3 != 0)),
@@ -308,7 +316,7 @@
     let leader = world.leader().expect("the majority leads");
     assert_eq!(world.add(leader, 4), Some(Ok(())), "{}", world.logs());
     let alone = world.add(0, 3);
-    assert_eq!(alone, Some(Err(Refusal::NoMajority)));
+    assert_eq!(alone, Some(Err(Rejection::NoQuorum)));
     world.run(10_000);
     assert_eq!(world.state_of(4, leader), Some(State::Requested), "machines out of sight count as out");
     world.heal();
@@ -328,7 +336,7 @@
     assert!(
         world.until(40_000, |world| {
             world.leader().is_some_and(|leader| {
-                let voters = &world.node(leader).agreed().voters;
+                let voters = &world.node(leader).cluster_state().voters;
                 voters.len() == 3 && !voters.contains_key(&before)
             })
         }),
@@ -384,9 +392,9 @@
     let mut world = whole(9, 5);
     let leader = world.leader().expect("there is one");
     let voters: Vec<usize> = (0..5)
-        .filter(|place| world.node(leader).agreed().voters.contains_key(&world.node(*place).me().node))
+        .filter(|place| world.node(leader).cluster_state().voters.contains_key(&world.node(*place).me().node))
         .collect();
-    let last = world.node(leader).agreed().last_grant;
+    let last = world.node(leader).cluster_state().last_approval;
     let rest: Vec<usize> = (0..5).filter(|place| !voters.contains(place)).collect();
     world.kill(voters[0]);
     world.kill(voters[1]);
@@ -394,30 +402,30 @@
     world.lose_disk(voters[1]);
     world.run(15_000);
     assert_eq!(world.leader(), None);
-    assert_eq!(world.add(rest[0], rest[1]), Some(Err(Refusal::NoMajority)));
+    assert_eq!(world.add(rest[0], rest[1]), Some(Err(Rejection::NoQuorum)));
     assert!(world.refound(rest[0]), "the council is lost");
     world.start(voters[0]);
     world.start(voters[1]);
     assert!(world.until(60_000, World::is_whole), "{}", world.logs());
     let leader = world.leader().expect("there is one");
-    assert!(world.node(leader).agreed().last_grant > last);
-    assert_eq!(world.node(voters[2]).figures().foundation, 2);
+    assert!(world.node(leader).cluster_state().last_approval > last);
+    assert_eq!(world.node(voters[2]).metrics().group_number, 2);
 }
 
 /// One that was taken for dead lives on as another; whom it suspected then stayed suspect for ever, and kept
 /// all machines in.
 #[test]
 fn a_suspicion_comes_to_its_end_also_in_the_next_life() {
-    let member = |name: &str, life| {
+    let member = |name: &str, incarnation| {
         let (zone, address) = ("z1".to_string(), "127.0.0.1:7801".parse().expect("an address"));
-        Member { name: name.into(), zone, address, node: 1, life, boot: 1 }
+        Member { name: name.into(), zone, address, node: 1, incarnation, boot: 1 }
     };
     let (one, other) = (member("n1", 1), member("n2", 1));
     let mut swims = [Swim::new(0, one.clone(), 1), Swim::new(0, other.clone(), 2)];
-    let found = swims[0].met(0, &other);
+    let found = swims[0].announce(0, &other);
     for (_, bytes) in found.send {
-        for (_, bytes) in swims[1].received(0, &bytes).send {
-            swims[0].received(0, &bytes);
+        for (_, bytes) in swims[1].receive(0, &bytes).send {
+            swims[0].receive(0, &bytes);
         }
     }
     let [swim, _] = &mut swims;
@@ -430,7 +438,7 @@
         swim.tick(now);
     }
     assert_eq!(health(swim), Some(Health::Suspect));
-    swim.live_on(now, member("n1", 2));
+    swim.change_identity(now, member("n1", 2));
     for _ in 0..100 {
         now += 50;
         swim.tick(now);
@@ -447,13 +455,13 @@
     for second in 0..62 {
         let now = world.now + world.machines[0].skew;
         let node = world.machines[0].node.as_mut().expect("it runs");
-        assert!(!node.received(now, stranger.clone()));
+        assert!(!node.receive(now, stranger.clone()));
         world.run(1_000);
         let told =
             world.machines[0].log.iter().filter(|line| line.contains("is refused: this is cluster kl"));
         assert_eq!(told.count(), if second < 60 { 1 } else { 2 }, "after {second} s");
     }
-    assert_eq!(world.node(0).figures().strange, 62);
+    assert_eq!(world.node(0).metrics().unexpected_messages, 62);
 }
 
 #[test]
@@ -466,7 +474,7 @@
     for (member, health) in world.node(4).members() {
         assert_eq!(health, Health::Alive, "{} is {health:?} to the one that slept", member.name);
     }
-    assert!(world.node(4).figures().slept_ms >= 5_000);
+    assert!(world.node(4).metrics().stalled_ms >= 5_000);
     let said: Vec<_> = world.machines[4].log.iter().filter(|line| line.ends_with("is dead")).collect();
     assert!(said.is_empty(), "{said:?}");
 }
@@ -484,7 +492,7 @@
     let mut world = whole(12, 6);
     assert_eq!(world.add(0, 5), Some(Ok(())));
     assert!(world.until(20_000, |world| {
-        world.leader().is_some_and(|leader| world.state_of(5, leader) == Some(State::Granted))
+        world.leader().is_some_and(|leader| world.state_of(5, leader) == Some(State::Approved))
     }));
     // From now on the way there and back takes longer than a word holds.
     world.far = Some((5, 1_300));
@@ -522,7 +530,7 @@
 fn a_voter_that_starts_says_nothing_before_others_know_its_disk() {
     let mut world = whole(14, 4);
     let leader = world.leader().expect("there is one");
-    let voters = world.node(leader).agreed().voters.clone();
+    let voters = world.node(leader).cluster_state().voters.clone();
     let votes = |place: &usize| voters.contains_key(&world.node(*place).me().node);
     let voter = (0..4).filter(|place| *place != leader).find(votes).expect("another votes");
     world.kill(voter);
