--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -6,8 +6,8 @@
 //! doubling on the way into the log. Two grants and two commands under way at once, in every order.
 
 use stateright::{Checker, Model, Property};
-use steprelay_fleet::agreed::{Agreed, Command, CommandId, Entry};
-use steprelay_fleet::work::{Event, Kind, State};
+use steprelay_fleet::cluster_state::{ClusterState, Command, CommandId, LogEntry};
+use steprelay_fleet::maintenance::{Event, State, TargetKind};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Machine {
@@ -21,12 +21,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Fleet {
-    agreed: Agreed,
+    cluster_state: ClusterState,
     machines: Vec<Machine>,
     /// Commands on their way into the log, in no order; each may be said twice.
-    under_way: Vec<(Option<usize>, Entry)>,
+    under_way: Vec<(Option<usize>, LogEntry)>,
     count: u64,
-    grants: u64,
+    approvals: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -36,7 +36,7 @@
         machine: usize,
         behind: u64,
     },
-    Ask(usize),
+    RequestLeave(usize),
     Deliver {
         place: usize,
         twice: bool,
@@ -87,7 +87,7 @@
 fn add(machine: usize) -> Command {
     Command::Add {
         machine: name(machine),
-        kind: Kind::Agent,
+        kind: TargetKind::Agent,
         zone: String::new(),
         reason: String::new(),
         for_ms: 1,
@@ -101,33 +101,39 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let mut agreed = Agreed::default();
+        let mut cluster_state = ClusterState::default();
         let mut count = 0;
         let mut say = |command| {
             count += 1;
-            let entry = Entry { id: CommandId { origin: 0, count }, at_ms: 0, command };
-            agreed.apply(&entry).expect("a start");
+            let entry = LogEntry { id: CommandId { origin: 0, count }, at_ms: 0, command };
+            cluster_state.apply(&entry).expect("a start");
         };
         for machine in 0..self.machines {
             say(Command::Join { name: name(machine), zone: self.zones[machine].into(), minor: 1 });
             say(add(machine));
         }
         let idle = Machine { away: None, asked: None, answers: Vec::new() };
-        vec![Fleet { agreed, machines: vec![idle; self.machines], under_way: Vec::new(), count, grants: 0 }]
+        vec![Fleet {
+            cluster_state,
+            machines: vec![idle; self.machines],
+            under_way: Vec::new(),
+            count,
+            approvals: 0,
+        }]
     }
 
     fn actions(&self, fleet: &Fleet, acts: &mut Vec<Act>) {
         let room = fleet.under_way.len() < 2;
         for machine in 0..self.machines {
-            let item = fleet.agreed.item(&name(machine));
+            let item = fleet.cluster_state.open_request(&name(machine));
             let state = item.map(|item| item.state);
-            if room && fleet.grants < self.most_grants && state == Some(State::Requested) {
+            if room && fleet.approvals < self.most_grants && state == Some(State::Requested) {
                 acts.push(Act::Decide { machine, behind: 0 });
                 acts.push(Act::Decide { machine, behind: 1 });
             }
             let own = &fleet.machines[machine];
-            if room && own.asked.is_none() && matches!(state, Some(State::Granted | State::Draining)) {
-                acts.push(Act::Ask(machine));
+            if room && own.asked.is_none() && matches!(state, Some(State::Approved | State::Draining)) {
+                acts.push(Act::RequestLeave(machine));
             }
             if own.asked.is_some() && self.machines > 1 {
                 acts.push(Act::Forget(machine));
@@ -140,7 +146,7 @@
                 acts.push(Act::Again(machine));
             }
             if let Some(state) = state {
-                for event in [Event::Withdraw, Event::Finish, Event::Gone, Event::Lapse] {
+                for event in [Event::Withdraw, Event::Finish, Event::MachineLost, Event::Lapse] {
                     // Staff's word that a lost machine is gone for good is theirs to answer for.
                     if (state, event) != (State::Lost, Event::Withdraw) {
                         acts.push(Act::Say { machine, event });
@@ -164,22 +170,22 @@
         let mut fleet = before.clone();
         fleet.count += 1;
         let id = CommandId { origin: 1, count: fleet.count };
-        let entry = |command| Entry { id, at_ms: 0, command };
+        let entry = |command| LogEntry { id, at_ms: 0, command };
         match act {
             Act::Decide { machine, behind } => {
-                fleet.grants += 1;
-                let basis = fleet.agreed.version.saturating_sub(behind);
-                let grant = Command::Grant { machine: name(machine), basis, most_out: 1 };
-                fleet.under_way.push((None, entry(grant)));
+                fleet.approvals += 1;
+                let base_version = fleet.cluster_state.version.saturating_sub(behind);
+                let approval = Command::Approve { machine: name(machine), base_version, max_out: 1 };
+                fleet.under_way.push((None, entry(approval)));
             }
-            Act::Ask(machine) => {
-                let grant = fleet.agreed.item(&name(machine))?.grant?;
+            Act::RequestLeave(machine) => {
+                let approval = fleet.cluster_state.open_request(&name(machine))?.approval?;
                 let own = &mut fleet.machines[machine];
                 if self.guard == Guard::NoQuestion {
-                    own.away = Some(grant);
+                    own.away = Some(approval);
                 }
-                own.asked = Some((grant, id.count));
-                let begin = Command::About { machine: name(machine), grant, event: Event::Begin };
+                own.asked = Some((approval, id.count));
+                let begin = Command::ReportEvent { machine: name(machine), approval, event: Event::Begin };
                 fleet.under_way.push((Some(machine), entry(begin)));
             }
             Act::Deliver { place, twice } => {
@@ -187,8 +193,8 @@
                 if !twice {
                     fleet.under_way.remove(place);
                 }
-                let done = fleet.agreed.apply(&said).is_ok();
-                if let Some(machine) = asker.filter(|_| matches!(said.command, Command::About { .. })) {
+                let done = fleet.cluster_state.apply(&said).is_ok();
+                if let Some(machine) = asker.filter(|_| matches!(said.command, Command::ReportEvent { .. })) {
                     let answers = &mut fleet.machines[machine].answers;
                     if answers.len() < 2 {
                         answers.push((said.id.count, done));
@@ -204,32 +210,37 @@
                 }
                 let asked =
                     own.asked.filter(|(_, asked)| *asked == question || self.guard == Guard::AnyAnswer);
-                let (grant, _) = asked?;
+                let (approval, _) = asked?;
                 own.asked = None;
                 if done {
-                    own.away = Some(grant);
+                    own.away = Some(approval);
                 }
             }
             Act::Again(machine) => {
-                fleet.agreed.apply(&entry(add(machine))).ok()?;
+                fleet.cluster_state.apply(&entry(add(machine))).ok()?;
             }
             Act::Forget(machine) => fleet.machines[machine].asked = None,
             Act::Say { machine, event } => {
-                let item = fleet.agreed.item(&name(machine))?;
+                let item = fleet.cluster_state.open_request(&name(machine))?;
                 let command = match event {
                     Event::Withdraw => Command::Withdraw { machine: name(machine) },
                     Event::Finish => Command::Finish { machine: name(machine) },
-                    event => Command::About { machine: name(machine), grant: item.grant.unwrap_or(0), event },
+                    event => Command::ReportEvent {
+                        machine: name(machine),
+                        approval: item.approval.unwrap_or(0),
+                        event,
+                    },
                 };
-                if fleet.agreed.apply(&entry(command)).is_err() {
+                if fleet.cluster_state.apply(&entry(command)).is_err() {
                     return None;
                 }
                 if self.guard == Guard::DoneAtOnce && event == Event::Finish {
-                    let grant = fleet.agreed.item(&name(machine))?.grant?;
-                    let back = Command::About { machine: name(machine), grant, event: Event::Back };
+                    let approval = fleet.cluster_state.open_request(&name(machine))?.approval?;
+                    let back =
+                        Command::ReportEvent { machine: name(machine), approval, event: Event::Returned };
                     fleet
-                        .agreed
-                        .apply(&Entry {
+                        .cluster_state
+                        .apply(&LogEntry {
                             id: CommandId { origin: 2, count: id.count },
                             at_ms: 0,
                             command: back,
@@ -239,10 +250,10 @@
             }
             // It serves again, and says so after that.
             Act::Back(machine) => {
-                let grant = fleet.agreed.item(&name(machine))?.grant?;
+                let approval = fleet.cluster_state.open_request(&name(machine))?.approval?;
                 let own = &mut fleet.machines[machine];
                 (own.away, own.asked) = (None, None);
-                let back = Command::About { machine: name(machine), grant, event: Event::Back };
+                let back = Command::ReportEvent { machine: name(machine), approval, event: Event::Returned };
                 fleet.under_way.push((None, entry(back)));
             }
         }
@@ -255,12 +266,9 @@
                 fleet.machines.iter().filter(|machine| machine.away.is_some()).count() <= 1
             }),
             Property::<Self>::always("whoever is away is counted as out", |_, fleet| {
-                fleet
-                    .machines
-                    .iter()
-                    .enumerate()
-                    .filter(|(_, own)| own.away.is_some())
-                    .all(|(machine, _)| fleet.agreed.out().any(|item| item.machine == name(machine)))
+                fleet.machines.iter().enumerate().filter(|(_, own)| own.away.is_some()).all(|(machine, _)| {
+                    fleet.cluster_state.machines_out().any(|item| item.machine == name(machine))
+                })
             }),
             Property::<Self>::sometimes("machines go", |_, fleet| {
                 fleet.machines.iter().any(|machine| machine.away.is_some())
--- a/fleet/tests/order.rs
+++ b/fleet/tests/order.rs
@@ -1,25 +1,26 @@
 //! In which order work is granted, and why not yet: what the leader makes of what it is told.
 
-use steprelay_fleet::agreed::{Agreed, Command, CommandId, Entry};
-use steprelay_fleet::order::{explain, next, Limits, Seen, Sight};
+use steprelay_fleet::cluster_state::{ClusterState, Command, CommandId, LogEntry};
+use steprelay_fleet::maintenance::{Event, TargetKind};
+use steprelay_fleet::messages::Status;
+use steprelay_fleet::scheduler::{explain, next_candidate, ClusterView, Limits, ObservedMember};
 use steprelay_fleet::swim::Health;
-use steprelay_fleet::words::Status;
-use steprelay_fleet::work::{Event, Kind};
 
-const LIMITS: Limits = Limits { most_out: 1, reserve: 0.5, calm_ms: 1_000 };
+const LIMITS: Limits = Limits { max_out: 1, reserve: 0.5, calm_ms: 1_000 };
 
 /// Four machines in two zones, each with a load of 10 a second that could be 20; all but n4 are to be
 /// worked on.
 struct Stand {
-    agreed: Agreed,
-    sight: Sight,
+    cluster_state: ClusterState,
+    view: ClusterView,
     count: u64,
 }
 
 impl Stand {
     fn new() -> Self {
-        let mut stand = Stand { agreed: Agreed::default(), sight: Sight::default(), count: 0 };
-        stand.sight.fresh_ms = 1_000;
+        let mut stand =
+            Stand { cluster_state: ClusterState::default(), view: ClusterView::default(), count: 0 };
+        stand.view.max_status_age_ms = 1_000;
         for number in 1..=4 {
             let (name, zone) = (format!("n{number}"), format!("z{}", (number + 1) / 2));
             stand.say(Command::Join { name: name.clone(), zone: zone.clone(), minor: 1 });
@@ -30,19 +31,24 @@
                 classes: vec![vec![1, 2], vec![2]],
                 ..Status::default()
             };
-            stand.sight.seen.push(Seen { name, zone, health: Health::Alive, status: Some((status, 100)) });
+            stand.view.members.push(ObservedMember {
+                name,
+                zone,
+                health: Health::Alive,
+                status: Some((status, 100)),
+            });
         }
-        (1..=3).for_each(|number| stand.add(&format!("n{number}"), Kind::Agent));
+        (1..=3).for_each(|number| stand.add(&format!("n{number}"), TargetKind::Agent));
         stand
     }
 
     fn say(&mut self, command: Command) {
         self.count += 1;
         let id = CommandId { origin: 1, count: self.count };
-        self.agreed.apply(&Entry { id, at_ms: self.count, command }).expect("carried out");
+        self.cluster_state.apply(&LogEntry { id, at_ms: self.count, command }).expect("carried out");
     }
 
-    fn add(&mut self, machine: &str, kind: Kind) {
+    fn add(&mut self, machine: &str, kind: TargetKind) {
         self.say(Command::Add {
             machine: machine.into(),
             kind,
@@ -56,29 +62,29 @@
 
     /// A machine goes and comes back.
     fn done(&mut self, machine: &str) {
-        let (basis, grant) = (self.agreed.version, self.agreed.last_grant + 1);
-        self.say(Command::Grant { machine: machine.into(), basis, most_out: 9 });
+        let (base_version, approval) = (self.cluster_state.version, self.cluster_state.last_approval + 1);
+        self.say(Command::Approve { machine: machine.into(), base_version, max_out: 9 });
         for event in [Event::Begin, Event::Drained] {
-            self.say(Command::About { machine: machine.into(), grant, event });
+            self.say(Command::ReportEvent { machine: machine.into(), approval, event });
         }
         self.say(Command::Finish { machine: machine.into() });
-        self.say(Command::About { machine: machine.into(), grant, event: Event::Back });
+        self.say(Command::ReportEvent { machine: machine.into(), approval, event: Event::Returned });
     }
 
-    fn seen(&mut self, name: &str) -> &mut Seen {
-        self.sight.seen.iter_mut().find(|seen| seen.name == name).expect("a machine")
+    fn member(&mut self, name: &str) -> &mut ObservedMember {
+        self.view.members.iter_mut().find(|seen| seen.name == name).expect("a machine")
     }
 
     fn status(&mut self, name: &str) -> &mut (Status, u64) {
-        self.seen(name).status.as_mut().expect("a word")
+        self.member(name).status.as_mut().expect("a word")
     }
 
     fn next(&self) -> Option<String> {
-        next(&self.agreed, &self.sight, &LIMITS).ok()
+        next_candidate(&self.cluster_state, &self.view, &LIMITS).ok()
     }
 
     fn why(&self, machine: &str) -> String {
-        explain(&self.agreed, &self.sight, &LIMITS, machine)
+        explain(&self.cluster_state, &self.view, &LIMITS, machine)
     }
 }
 
@@ -89,18 +95,18 @@
     let table: [(Do, &str); 13] = [
         (|_| {}, "n1: it is next"),
         (
-            |s| s.seen("n4").health = Health::Suspect,
+            |s| s.member("n4").health = Health::Suspect,
             "n1: not yet, because n4 is not serving, and counts as out",
         ),
-        (|s| s.seen("n4").status = None, "n1: not yet, because n4 is not serving, and counts as out"),
+        (|s| s.member("n4").status = None, "n1: not yet, because n4 is not serving, and counts as out"),
         (|s| s.status("n4").1 = 1_001, "n1: not yet, because n4 is not serving, and counts as out"),
         (|s| s.status("n2").0.serving = false, "n1: not yet, because n2 is not serving, and counts as out"),
         (|s| s.status("n1").0.serving = false, "n1: not yet, because the machine itself is not serving"),
         (
-            |s| s.sight.trouble = Some(("n3 was lost".into(), 999)),
+            |s| s.view.disturbance = Some(("n3 was lost".into(), 999)),
             "n1: not yet, because n3 was lost 999 ms ago, and calm is 1000 ms",
         ),
-        (|s| s.sight.trouble = Some(("n3 was lost".into(), 1_000)), "n1: it is next"),
+        (|s| s.view.disturbance = Some(("n3 was lost".into(), 1_000)), "n1: it is next"),
         (
             |s| s.status("n4").0.capacity_milli = 19_000,
             "n1: not yet, because 59 set-ups a second would be left, and 40 with a reserve are needed",
@@ -140,7 +146,7 @@
     for _ in 0..10 {
         let machine = stand.next().expect("one can go");
         stand.done(&machine);
-        stand.add(&machine, Kind::Agent);
+        stand.add(&machine, TargetKind::Agent);
         turns.push(machine);
     }
     assert_eq!(turns.iter().position(|machine| machine == "n3"), Some(8), "{turns:?}");
@@ -149,15 +155,15 @@
 #[test]
 fn the_last_check_server_of_a_class_stays() {
     let mut stand = Stand::new();
-    stand.add("s-00000001", Kind::Server(1));
-    stand.add("s-00000002", Kind::Server(2));
+    stand.add("s-00000001", TargetKind::Server(1));
+    stand.add("s-00000002", TargetKind::Server(2));
     assert_eq!(stand.why("s-00000001"), "s-00000001: it is next");
     let told = stand.why("s-00000002");
     assert!(told.ends_with("s-00000002 would be the last check server that can serve class 1"), "{told}");
     // Once the other is out, this one is the last for class 0 as well.
-    let basis = stand.agreed.version;
-    stand.say(Command::Grant { machine: "s-00000001".into(), basis, most_out: 2 });
-    let limits = Limits { most_out: 2, ..LIMITS };
-    let told = explain(&stand.agreed, &stand.sight, &limits, "s-00000002");
+    let base_version = stand.cluster_state.version;
+    stand.say(Command::Approve { machine: "s-00000001".into(), base_version, max_out: 2 });
+    let limits = Limits { max_out: 2, ..LIMITS };
+    let told = explain(&stand.cluster_state, &stand.view, &limits, "s-00000002");
     assert!(told.ends_with("serve class 0"), "{told}");
 }
--- a/fleet/tests/seeds.rs
+++ b/fleet/tests/seeds.rs
@@ -3,13 +3,13 @@
 
 mod world;
 
-use steprelay_fleet::work::State;
+use steprelay_fleet::maintenance::State;
 use world::World;
 
 /// Seeds in CI; `SEEDS=200` for more.
 const SEEDS: u64 = 12;
 
-fn life(seed: u64) -> World {
+fn simulate(seed: u64) -> World {
     let mut world = World::new(seed, 7, 3, 1, 800);
     world.copied = true;
     world.start_all();
@@ -50,7 +50,7 @@
 
 /// Whether the leader has granted anything that is not over.
 fn moves(world: &World) -> bool {
-    world.leader().is_some_and(|leader| world.node(leader).agreed().out().next().is_some())
+    world.leader().is_some_and(|leader| world.node(leader).cluster_state().machines_out().next().is_some())
 }
 
 fn fault(world: &mut World) {
@@ -122,7 +122,7 @@
     let (mut left, mut settled) = (0, 0);
     let only = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok());
     for seed in only.map_or(1..=seeds, |seed| seed..=seed) {
-        let mut world = life(seed);
+        let mut world = simulate(seed);
         left += world.ever_left.len();
         if let Some(first) = world.broken.first() {
             broken.push(format!("seed {seed}: {first} ({} in all)", world.broken.len()));
--- a/fleet/tests/streams.rs
+++ b/fleet/tests/streams.rs
@@ -4,8 +4,8 @@
 
 mod world;
 
-use steprelay_fleet::agreed::{Command, Refusal};
-use steprelay_fleet::words::{Ask, Told};
+use steprelay_fleet::cluster_state::{Command, Rejection};
+use steprelay_fleet::messages::{LeaderRequest, LeaderResponse};
 use world::World;
 
 /// What is left of the 8 s that a release may take, for what comes after the council's word.
@@ -28,7 +28,7 @@
 
 /// Who writes a stream by what the leader knows.
 fn writer(world: &World, stream: u64) -> Option<(String, u64)> {
-    let by = world.node(world.leader()?).agreed().streams.get(&stream)?;
+    let by = world.node(world.leader()?).cluster_state().stream_owners.get(&stream)?;
     Some((by.name.clone(), by.epoch))
 }
 
@@ -74,16 +74,19 @@
     assert!(world.until(SOON, second), "{}", world.logs());
     let leader = world.leader().expect("one leads");
     // The older epoch settles nothing; the later one does, once.
-    let settle = |epoch| Command::Settle { stream, epoch };
+    let settle = |epoch| Command::CloseStream { stream, epoch };
     let refused = world.command(leader, settle(1)).expect("an answer");
-    assert!(matches!(refused, Err(Refusal::Fenced { .. })), "{refused:?}");
+    assert!(matches!(refused, Err(Rejection::Fenced { .. })), "{refused:?}");
     assert_eq!(world.command(leader, settle(2)), Some(Ok(())));
-    assert!(matches!(world.command(leader, settle(2)), Some(Err(Refusal::Fenced { .. }))));
+    assert!(matches!(world.command(leader, settle(2)), Some(Err(Rejection::Fenced { .. }))));
     world.run(10_000);
     assert_eq!(writer(&world, stream), None, "what is over is succeeded by nobody");
     // Only the leader says who succeeds.
-    let told = world.ask(leader, Ask::Do(Command::Succeed { stream, epoch: 1, name: "n1".into(), boot: 1 }));
-    assert!(matches!(told, Some(Told::Outcome(Err(Refusal::Not(_))))), "{told:?}");
+    let told = world.ask(
+        leader,
+        LeaderRequest::Execute(Command::FailOver { stream, epoch: 1, name: "n1".into(), boot: 1 }),
+    );
+    assert!(matches!(told, Some(LeaderResponse::Outcome(Err(Rejection::NotAllowed(_))))), "{told:?}");
     good(&world);
 }
 
@@ -124,8 +127,9 @@
     for seed in 1..40 {
         let mut world = whole(seed, 5, []);
         let leader = world.leader().expect("one leads");
-        let votes =
-            |place: &usize| world.node(leader).agreed().voters.contains_key(&world.node(*place).me().node);
+        let votes = |place: &usize| {
+            world.node(leader).cluster_state().voters.contains_key(&world.node(*place).me().node)
+        };
         let other = (0..5).find(|place| !votes(place)).expect("the others are a majority");
         let stream = stream_of(&world, other);
         if seed % 2 == 0 {
@@ -152,7 +156,7 @@
     world.kill(5);
     world.run(20_000);
     for place in 0..5 {
-        assert!(!world.node(place).agreed().streams.contains_key(&stream));
+        assert!(!world.node(place).cluster_state().stream_owners.contains_key(&stream));
         assert!(world.actors(stream_of(&world, place)).is_empty(), "{place} acts without a lease");
     }
     world.heal();
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -6,13 +6,15 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use steprelay_fleet::agreed::{Command, CommandId, Outcome};
-use steprelay_fleet::council::Disk;
-use steprelay_fleet::node::{Effect, Node, Page, Setup};
-use steprelay_fleet::order::Limits;
+use steprelay_fleet::cluster_state::{Command, CommandId, Outcome};
+use steprelay_fleet::consensus::LogImage;
+use steprelay_fleet::maintenance::{State, TargetKind};
+use steprelay_fleet::messages::{
+    self, Envelope, HeldReplica, LeaderRequest, LeaderResponse, Payload, Status, StreamEpoch,
+};
+use steprelay_fleet::node::{Effect, Node, NodeConfig, PersistentState};
+use steprelay_fleet::scheduler::Limits;
 use steprelay_fleet::swim::{Health, Member};
-use steprelay_fleet::words::{self, Ask, Envelope, Held, Payload, Status, Told, Written};
-use steprelay_fleet::work::{Kind, State};
 
 /// Words that wait for a link, and how often it is asked for, as the program has it.
 const MOST_WAITING: usize = 256;
@@ -22,8 +24,8 @@
 
 #[derive(Clone, Default)]
 pub struct Directory {
-    pub page: Option<Page>,
-    pub log: Disk,
+    pub page: Option<PersistentState>,
+    pub log: LogImage,
 }
 
 /// One machine: its process (if it runs), its directory, and what is true of it.
@@ -43,7 +45,7 @@
     pub stays: bool,
     pub left_by: Vec<u64>,
     pub held: BTreeMap<u32, u64>,
-    pub told: BTreeMap<CommandId, Told>,
+    pub responses: BTreeMap<CommandId, LeaderResponse>,
     pub log: Vec<String>,
     /// Its clock is so far from the world's, and runs so much faster, in millionths.
     pub skew: u64,
@@ -62,7 +64,7 @@
 pub struct World {
     pub now: u64,
     pub machines: Vec<Machine>,
-    pub setup: Setup,
+    pub setup: NodeConfig,
     rng: StdRng,
     wire: BTreeMap<(u64, u64), (usize, usize, Envelope)>,
     sent: u64,
@@ -101,13 +103,13 @@
 }
 
 impl World {
-    pub fn new(seed: u64, size: usize, zones: usize, most_out: u32, calm_ms: u64) -> Self {
+    pub fn new(seed: u64, size: usize, zones: usize, max_out: u32, calm_ms: u64) -> Self {
         let names: Vec<String> = (1..=size).map(|number| format!("n{number}")).collect();
-        let setup = Setup {
+        let setup = NodeConfig {
             cluster: "kl".into(),
             founders: names.iter().take(3).cloned().collect(),
-            limits: Limits { most_out, reserve: 0.0, calm_ms },
-            minor: words::MINOR,
+            limits: Limits { max_out, reserve: 0.0, calm_ms },
+            minor: messages::MINOR,
         };
         let mut world = World {
             now: 1_000,
@@ -133,7 +135,7 @@
         };
         for (place, name) in names.into_iter().enumerate() {
             let zone = format!("z{}", place % zones);
-            let member = Member { name, zone, address: address(place), node: 0, life: 0, boot: 0 };
+            let member = Member { name, zone, address: address(place), node: 0, incarnation: 0, boot: 0 };
             let skew = world.rng.random_range(0..100_000_000);
             world.machines.push(Machine {
                 member,
@@ -147,11 +149,11 @@
                 stays: false,
                 left_by: Vec::new(),
                 held: BTreeMap::new(),
-                told: BTreeMap::new(),
+                responses: BTreeMap::new(),
                 log: Vec::new(),
                 skew,
                 drift: 0,
-                minor: words::MINOR,
+                minor: messages::MINOR,
             });
         }
         world
@@ -166,11 +168,11 @@
         self.streams.push(Stream { boot, place, held: Vec::new() });
         let machine = &mut self.machines[place];
         assert!(machine.node.is_none(), "{place} runs");
-        let page = machine.directory.page.get_or_insert_with(|| Page::first(disk)).clone();
+        let page = machine.directory.page.get_or_insert_with(|| PersistentState::first(disk)).clone();
         let me = Member { boot, ..machine.member.clone() };
         let now = machine.clock(self.now);
-        let setup = Setup { minor: machine.minor, ..self.setup.clone() };
-        let node = Node::new(now, setup, me, page, &machine.directory.log.kept(), seed);
+        let setup = NodeConfig { minor: machine.minor, ..self.setup.clone() };
+        let node = Node::new(now, setup, me, page, &machine.directory.log.persisted(), seed);
         machine.node = Some(node.expect("what was kept is whole"));
         (machine.away, machine.stalled_until) = (None, 0);
         machine.held.clear();
@@ -260,7 +262,7 @@
         let octets = postcard::to_stdvec(&envelope).map_or(0, |bytes| bytes.len() as u64);
         if !self.is_linked(from, to)
             && !first
-            && !matches!(payload, Payload::Welcome { .. } | Payload::Refused(_))
+            && !matches!(payload, Payload::Welcome { .. } | Payload::Rejected(_))
         {
             // A link begins with both sides' words on each other; what is to be sent waits for them.
             let (dialled, waiting) = self.waiting.entry((from, to)).or_default();
@@ -290,10 +292,10 @@
         for effect in effects {
             let machine = &mut self.machines[place];
             match effect {
-                Effect::Write(write) => machine.directory.log.write(write),
-                Effect::Keep(page) => machine.directory.page = Some(*page),
-                Effect::Renew { page, log } => {
-                    machine.directory = Directory { page: Some(*page), log: Disk::default() };
+                Effect::WriteLog(write) => machine.directory.log.write(write),
+                Effect::Persist(page) => machine.directory.page = Some(*page),
+                Effect::ReplaceLog { page, log } => {
+                    machine.directory = Directory { page: Some(*page), log: LogImage::default() };
                     if let Some(write) = log {
                         machine.directory.log.write(write);
                     }
@@ -304,21 +306,21 @@
                         self.post(place, to, payload);
                     }
                 }
-                Effect::Leave { grant } => {
+                Effect::StartDrain { approval } => {
                     if machine.away.is_none() {
                         machine.away_since = self.now;
                     }
-                    machine.away = Some(grant);
-                    machine.left_by.push(grant);
-                    self.ever_left.push((grant, place));
+                    machine.away = Some(approval);
+                    machine.left_by.push(approval);
+                    self.ever_left.push((approval, place));
                 }
                 // A process that starts took no work before, and takes none yet.
-                Effect::Stay { .. } => machine.stays = true,
-                Effect::Return => (machine.away, machine.stays) = (None, false),
-                Effect::Copies { .. } => {}
-                Effect::Hold(held) => machine.held = held,
-                Effect::Told { id, told } => {
-                    machine.told.insert(id, told);
+                Effect::RemainOut { .. } => machine.stays = true,
+                Effect::Resume => (machine.away, machine.stays) = (None, false),
+                Effect::Replication { .. } => {}
+                Effect::HoldServers(held) => machine.held = held,
+                Effect::Response { id, response } => {
+                    machine.responses.insert(id, response);
                 }
                 Effect::Log(line) => machine.log.push(format!("{} {line}", self.now)),
             }
@@ -351,11 +353,11 @@
             let local = machine.clock(now);
             let Some(node) = &mut machine.node else { continue };
             // Nothing is taken in before the time is looked at.
-            node.wake(local);
+            node.detect_stall(local);
             if let Some((writes, holds)) = part {
-                node.copies(writes, holds);
+                node.set_streams(writes, holds);
             }
-            node.status(Status {
+            node.set_status(Status {
                 serving: machine.away.is_none() && !machine.stays,
                 load_milli: 10_000,
                 capacity_milli: 0,
@@ -365,13 +367,13 @@
                 ),
                 servers: 4,
                 avoided: 0,
-                held: machine.held.iter().map(|(server, grant)| (*server, *grant, false)).collect(),
+                held: machine.held.iter().map(|(server, approval)| (*server, *approval, false)).collect(),
                 classes: vec![vec![1, 2, 3, 4]],
             });
             let envelopes: Vec<Envelope> = machine.inbox.drain(..).collect();
             for envelope in envelopes {
                 // Both sides know of each other now.
-                if matches!(envelope.payload, Payload::Welcome { back: true, .. }) {
+                if matches!(envelope.payload, Payload::Welcome { is_reply: true, .. }) {
                     let from = (0..self.machines.len()).find(|from| address(*from) == envelope.from.address);
                     let boot = self.machines[place].node.as_ref().map_or(0, |node| node.me().boot);
                     self.links.extend(from.map(|from| (from, place, envelope.from.boot, boot)));
@@ -384,7 +386,7 @@
                     }
                 }
                 if let Some(node) = &mut self.machines[place].node {
-                    node.received(local, envelope);
+                    node.receive(local, envelope);
                 }
                 self.carry_out(place);
             }
@@ -420,19 +422,20 @@
     }
 
     /// What a member writes by what it knows, and holds.
-    fn copies_of(&self, place: usize) -> (Vec<Written>, Vec<Held>) {
+    fn copies_of(&self, place: usize) -> (Vec<StreamEpoch>, Vec<HeldReplica>) {
         let Some(node) = &self.machines[place].node else { return Default::default() };
         let boot = node.me().boot;
-        let own = node.agreed().epoch(boot).filter(|epoch| *epoch == 0);
-        let mut writes: Vec<Written> = own.into_iter().map(|epoch| Written { stream: boot, epoch }).collect();
-        let mine = node.agreed().streams.iter().filter(|(_, by)| by.boot == boot);
-        writes.extend(mine.map(|(stream, by)| Written { stream: *stream, epoch: by.epoch }));
+        let own = node.cluster_state().epoch(boot).filter(|epoch| *epoch == 0);
+        let mut writes: Vec<StreamEpoch> =
+            own.into_iter().map(|epoch| StreamEpoch { stream: boot, epoch }).collect();
+        let mine = node.cluster_state().stream_owners.iter().filter(|(_, by)| by.boot == boot);
+        writes.extend(mine.map(|(stream, by)| StreamEpoch { stream: *stream, epoch: by.epoch }));
         let held = self.streams.iter().filter(|stream| stream.held.contains(&(place, boot)));
-        let holds = held.map(|stream| Held {
-            written: Written { stream: stream.boot, epoch: 0 },
-            writer: self.name(stream.place),
-            boot: stream.boot,
-            number: 1,
+        let holds = held.map(|stream| HeldReplica {
+            stream: StreamEpoch { stream: stream.boot, epoch: 0 },
+            primary: self.name(stream.place),
+            primary_boot: stream.boot,
+            sequence: 1,
         });
         (writes, holds.collect())
     }
@@ -447,9 +450,9 @@
             let leased = node.lease().is_some_and(|until| machine.clock(self.now) < until);
             let boot = node.me().boot;
             leased
-                && match node.agreed().streams.get(&stream) {
+                && match node.cluster_state().stream_owners.get(&stream) {
                     Some(by) => by.boot == boot,
-                    None => boot == stream && node.agreed().epoch(stream) == Some(0),
+                    None => boot == stream && node.cluster_state().epoch(stream) == Some(0),
                 }
         };
         (0..self.machines.len()).filter(acts).collect()
@@ -460,7 +463,7 @@
         let away: Vec<usize> =
             (0..self.machines.len()).filter(|place| self.machines[*place].away.is_some()).collect();
         self.most_away = self.most_away.max(away.len());
-        if away.len() > self.setup.limits.most_out as usize {
+        if away.len() > self.setup.limits.max_out as usize {
             let by: Vec<_> =
                 away.iter().map(|place| (self.name(*place), self.machines[*place].away)).collect();
             self.broken.push(format!("{}: {by:?} are away at once", self.now));
@@ -479,9 +482,9 @@
             }
         }
         let mut by = BTreeMap::new();
-        for (grant, place) in &self.ever_left {
-            if *by.entry(*grant).or_insert(*place) != *place {
-                self.broken.push(format!("grant {grant} was used by two machines"));
+        for (approval, place) in &self.ever_left {
+            if *by.entry(*approval).or_insert(*place) != *place {
+                self.broken.push(format!("grant {approval} was used by two machines"));
             }
         }
     }
@@ -512,11 +515,11 @@
     pub fn leader(&self) -> Option<usize> {
         let leads = |place: &usize| {
             let machine = &self.machines[*place];
-            machine.stalled_until <= self.now && machine.node.as_ref().is_some_and(Node::leads)
+            machine.stalled_until <= self.now && machine.node.as_ref().is_some_and(Node::is_leader)
         };
         (0..self.machines.len())
             .filter(leads)
-            .max_by_key(|place| self.machines[*place].node.as_ref().map_or(0, |node| node.figures().term))
+            .max_by_key(|place| self.machines[*place].node.as_ref().map_or(0, |node| node.metrics().term))
     }
 
     pub fn node(&self, place: usize) -> &Node {
@@ -526,24 +529,24 @@
     pub fn state_of(&self, place: usize, by: usize) -> Option<State> {
         let node = self.machines[by].node.as_ref()?;
         let name = &self.machines[place].member.name;
-        let over = || node.agreed().over.iter().rev().find(|item| item.machine == *name);
-        node.agreed().item(name).or_else(over).map(|item| item.state)
+        let over = || node.cluster_state().closed_requests.iter().rev().find(|item| item.machine == *name);
+        node.cluster_state().open_request(name).or_else(over).map(|item| item.state)
     }
 
     /// Staff ask at one member; the answer is waited for.
-    pub fn ask(&mut self, by: usize, ask: Ask) -> Option<Told> {
+    pub fn ask(&mut self, by: usize, ask: LeaderRequest) -> Option<LeaderResponse> {
         let local = self.machines[by].clock(self.now);
-        let id = self.machines[by].node.as_mut()?.ask(local, ask);
+        let id = self.machines[by].node.as_mut()?.submit(local, ask);
         self.carry_out(by);
         self.until(12_000, |world| {
-            world.machines[by].told.contains_key(&id) || world.machines[by].node.is_none()
+            world.machines[by].responses.contains_key(&id) || world.machines[by].node.is_none()
         });
-        self.machines[by].told.get(&id).cloned()
+        self.machines[by].responses.get(&id).cloned()
     }
 
     pub fn command(&mut self, by: usize, command: Command) -> Option<Outcome> {
-        match self.ask(by, Ask::Do(command)) {
-            Some(Told::Outcome(outcome)) => Some(outcome),
+        match self.ask(by, LeaderRequest::Execute(command)) {
+            Some(LeaderResponse::Outcome(outcome)) => Some(outcome),
             _ => None,
         }
     }
@@ -551,7 +554,7 @@
     pub fn add(&mut self, by: usize, place: usize) -> Option<Outcome> {
         let machine = self.name(place);
         let reason = "new disk".into();
-        let (kind, zone) = (Kind::Agent, String::new());
+        let (kind, zone) = (TargetKind::Agent, String::new());
         self.command(
             by,
             Command::Add { machine, kind, zone, reason, for_ms: 600_000, after: Vec::new(), within_ms: None },
@@ -570,19 +573,19 @@
             machine.node.as_ref().is_none_or(|node| {
                 let alive = node.members().iter().filter(|(_, health)| *health == Health::Alive).count();
                 alive == running
-                    && node.agreed().roster.len() >= running
-                    && node.agreed().voters.len() >= self.setup.founders.len().min(self.machines.len())
+                    && node.cluster_state().roster.len() >= running
+                    && node.cluster_state().voters.len() >= self.setup.founders.len().min(self.machines.len())
             })
         };
         let running: BTreeMap<u64, bool> = self
             .machines
             .iter()
             .filter_map(|machine| machine.node.as_ref())
-            .map(|node| (node.me().node, node.figures()))
-            .map(|(id, figures)| (id, figures.votes && !figures.joint))
+            .map(|node| (node.me().node, node.metrics()))
+            .map(|(id, figures)| (id, figures.is_voter && !figures.joint))
             .collect();
         self.leader().is_some_and(|leader| {
-            self.node(leader).agreed().voters.keys().all(|id| running.get(id) == Some(&true))
+            self.node(leader).cluster_state().voters.keys().all(|id| running.get(id) == Some(&true))
         }) && self.machines.iter().all(whole)
     }
 
@@ -605,8 +608,8 @@
             let figures = machine.node.as_ref().map(|node| {
                 (
                     node.me().node % 1000,
-                    node.figures(),
-                    node.agreed()
+                    node.metrics(),
+                    node.cluster_state()
                         .voters
                         .iter()
                         .map(|(id, v)| (id % 1000, v.name.clone()))
