--- a/fleet/src/cluster_state.rs
+++ b/fleet/src/cluster_state.rs
@@ -1,4 +1,5 @@
-//! What the council has agreed: a state that follows from the log alone, entry by entry, the same everywhere.
+//! The replicated state of the cluster: determined by the log alone, entry by entry, and so identical on
+//! all members.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,40 +10,40 @@
 use crate::messages::MAJOR;
 use crate::Millis;
 
-/// Requests that are not over, at most; a fleet's every machine has room.
+/// Bound on open maintenance requests, large enough for one per machine of a cluster.
 pub const MAX_OPEN_REQUESTS: usize = 1024;
-/// Requests that are over stay to be looked at, so many of them.
+/// Number of closed requests that are kept for inspection.
 const MAX_CLOSED_REQUESTS: usize = 64;
-/// Answers are remembered for so many commands, so that one said twice is done once.
+/// Number of commands whose outcomes are remembered, so that a command received twice is executed once.
 const MAX_RECORDED_OUTCOMES: usize = 512;
-/// Machines in the roster, at most.
+/// Bound on the machines in the roster.
 pub const MAX_ROSTER_ENTRIES: usize = 1024;
-/// Voters before that are remembered.
+/// Number of former voters that are remembered.
 const MAX_RETIRED_IDS: usize = 256;
-/// Streams of copies that are written by successors, and those that are over and remembered, at most.
+/// Bound on the replication streams owned by successors, and on the closed streams that are remembered.
 const MAX_STREAMS: usize = 1024;
-/// Text of one request, at most.
+/// Bound on each text of a request, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
 
-/// Names one command: who made it (a number of its own for each start of a program) and its count.
+/// Identifies a command: its origin (a boot identifier, unique per process start) and the origin's count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CommandId {
     pub origin: u64,
     pub count: u64,
 }
 
-/// An entry of the log.
+/// A log entry. Encoded by postcard, by position, like everything it contains.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LogEntry {
     pub id: CommandId,
-    /// The leader's idea of fleet time; it only moves on.
+    /// The leader's estimate of cluster time, in milliseconds; the applied time never decreases.
     pub at_ms: Millis,
     pub command: Command,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Staff want work on a machine.
+    /// An operator requests maintenance of a machine.
     Add {
         machine: String,
         kind: TargetKind,
@@ -50,7 +51,7 @@
         reason: String,
         for_ms: Millis,
         after: Vec<String>,
-        /// From now on.
+        /// Lifetime of the request, counted from now.
         within_ms: Option<Millis>,
     },
     Extend {
@@ -63,43 +64,44 @@
     Finish {
         machine: String,
     },
-    /// Of the leader, who decided by the state of work as it was at `basis`.
+    /// Proposed by the leader, which decided by the cluster state of version `base_version`.
     Approve {
         machine: String,
         base_version: u64,
         max_out: u32,
     },
-    /// Of the machine itself, or of the leader for a check server, or of the leader who saw it gone or late.
+    /// An event reported by the machine itself, or by the leader: for check servers, and for machines that
+    /// are lost or overdue.
     ReportEvent {
         machine: String,
         approval: u64,
         event: Event,
     },
-    /// A machine was met; a known name with another zone moves, and one with another version was upgraded.
+    /// Adds a machine to the roster, or updates its zone or its protocol version.
     Join {
         name: String,
         zone: String,
         minor: u16,
     },
-    /// Staff say that a machine is gone for good.
+    /// An operator removes a machine for good.
     Forget {
         name: String,
     },
-    /// Fleet time moves on.
+    /// Advances the cluster time.
     AdvanceClock,
-    /// Staff keep all grants back, with their reason; or let them go on. Since 1.1.
+    /// An operator suspends all approvals, giving a reason, or resumes them with `None`. Since 1.1.
     Pause {
         reason: Option<String>,
     },
-    /// Of the leader: a stream of copies whose writer is lost is written by another one from now on, in that
-    /// start of its program. Since 1.2.
+    /// Proposed by the leader: a stream whose primary is lost is owned by this member from now on, in that
+    /// process start. Since 1.2.
     FailOver {
         stream: u64,
         epoch: u64,
         name: String,
         boot: u64,
     },
-    /// Of a successor: all that the stream promised was kept. Since 1.2.
+    /// Proposed by a successor: all pending work of the stream is done. Since 1.2.
     CloseStream {
         stream: u64,
         epoch: u64,
@@ -107,7 +109,7 @@
 }
 
 impl Command {
-    /// The minor version that knows this command first.
+    /// The minor protocol version that introduced this command.
     pub fn introduced_in(&self) -> u16 {
         match self {
             Command::Pause { .. } => 1,
@@ -117,47 +119,47 @@
     }
 }
 
-/// Who writes a stream of copies whose first writer is lost.
+/// The successor that owns a stream whose first primary is lost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StreamOwner {
     pub name: String,
     pub boot: u64,
-    /// Grows with each succession; 0 is the first writer's.
+    /// Fencing token: grows with each failover; 0 is the first primary's.
     pub epoch: u64,
 }
 
-/// A machine of the roster.
+/// A machine of a call agent in the roster.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RosterEntry {
     pub zone: String,
-    /// The minor version that it spoke last.
+    /// The minor protocol version it spoke last.
     pub minor: u16,
 }
 
-/// Why a command was not carried out.
+/// Why a command was rejected. Encoded by position in the log's outcomes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
     #[error("no machine of that name is known: {0}")]
     UnknownMachine(String),
-    #[error("no work on {0} was asked for")]
+    #[error("no work on {0} was requested")]
     NoRequest(String),
-    #[error("work on {0} is asked for already, and is {1}")]
+    #[error("work on {0} is already requested, and is {1}")]
     AlreadyRequested(String, String),
     #[error("work on {machine} is {state}: {why}")]
     InvalidTransition { machine: String, state: String, why: String },
-    #[error("grant {told} of {machine} is not the present one, {present}")]
-    Fenced { machine: String, told: u64, present: u64 },
-    #[error("decided by the state {base_version}, and it is {version}")]
+    #[error("{received} is not the current grant or epoch of {machine}, {current}")]
+    Fenced { machine: String, received: u64, current: u64 },
+    #[error("decided by state version {base_version}, and the current one is {version}")]
     StaleVersion { base_version: u64, version: u64 },
-    #[error("{0} machines are out, and {1} may be")]
+    #[error("{0} machines are out, at most {1} may be")]
     TooManyOut(usize, u32),
     #[error("machines of zone {0} are out")]
     OtherZone(String),
-    #[error("the council would lose its majority")]
+    #[error("the consensus group would lose its majority")]
     QuorumAtRisk,
-    #[error("work on {0} comes first")]
+    #[error("work on {0} must be over first")]
     WaitsFor(String),
-    #[error("{0} comes after itself")]
+    #[error("{0} depends on itself")]
     CyclicDependency(String),
     #[error("{0} is alive, and cannot be forgotten")]
     StillAlive(String),
@@ -167,9 +169,9 @@
     VersionTooOld(String, u16, u16),
     #[error("there are too many {0}")]
     LimitReached(String),
-    #[error("a text is longer than {MAX_TEXT_BYTES}")]
+    #[error("a text is longer than {MAX_TEXT_BYTES} bytes")]
     TextTooLong,
-    /// No leader took it, or none that could answer in time: what became of it is not known.
+    /// No leader accepted the command, or none could respond in time. Its outcome is unknown.
     #[error("no majority of the council answers")]
     NoQuorum,
     #[error("{0}")]
@@ -178,7 +180,7 @@
 
 pub type Outcome = Result<(), Rejection>;
 
-/// A voting member.
+/// A voting member of the consensus group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Voter {
     pub name: String,
@@ -188,49 +190,52 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterState {
-    /// Changes of the state of work so far.
+    /// Number of changes to this state so far.
     pub version: u64,
-    /// Fleet time: what leaders have measured by their monotonic clocks, added up. Wall clocks play no part.
+    /// Cluster time in milliseconds: the sum of what successive leaders measured by their monotonic clocks.
+    /// Wall clocks play no part.
     pub time_ms: Millis,
     pub last_approval: u64,
-    /// By their numbers in the raft engine.
+    /// By their Raft identifiers.
     pub voters: BTreeMap<u64, Voter>,
-    /// Numbers that voted once and never do again: their disks are discarded or lost, the last of them.
+    /// Raft identifiers that no longer vote, the latest of them: their disks are discarded or lost, and
+    /// none of them votes again.
     retired: VecDeque<u64>,
-    /// All machines of call agents that were met and not forgotten.
+    /// All call agents' machines that joined and were not forgotten.
     pub roster: BTreeMap<String, RosterEntry>,
-    /// Why staff keep all grants back, if they do.
+    /// Reason why operators suspended approvals, if they did.
     pub paused: Option<String>,
-    /// The newest minor version of any command so far: whoever speaks an older one can't read the log.
+    /// The newest minor version of any command so far: a member that speaks an older one can't read the
+    /// log.
     pub required_minor: u16,
     /// Oldest first.
     pub open_requests: Vec<MaintenanceRequest>,
     pub closed_requests: VecDeque<MaintenanceRequest>,
     outcomes: VecDeque<(CommandId, Outcome)>,
-    /// Streams of copies that successors write.
+    /// Replication streams owned by successors.
     pub stream_owners: BTreeMap<u64, StreamOwner>,
-    /// Those that are over, the last of them.
+    /// The latest closed streams.
     pub closed_streams: VecDeque<u64>,
 }
 
 impl ClusterState {
-    /// By which epoch a stream is written; `None` once it is over.
+    /// The current epoch of a stream; `None` once it is closed.
     pub fn epoch(&self, stream: u64) -> Option<u64> {
         let epoch = self.stream_owners.get(&stream).map_or(0, |authority| authority.epoch);
         (!self.closed_streams.contains(&stream)).then_some(epoch)
     }
 
-    /// The request about a machine that is not over.
+    /// The open request for a machine.
     pub fn open_request(&self, machine: &str) -> Option<&MaintenanceRequest> {
         self.open_requests.iter().find(|item| item.machine == machine)
     }
 
-    /// Machines that count as out by what is agreed.
+    /// Requests whose machines count as out.
     pub fn machines_out(&self) -> impl Iterator<Item = &MaintenanceRequest> {
         self.open_requests.iter().filter(|item| item.state.counts_as_out())
     }
 
-    /// The engine has other voters now; `added` tells of new ones.
+    /// Applies a change of voters; `added` describes the new ones.
     pub fn set_voters(&mut self, ids: &[u64], added: Vec<(u64, Voter)>) {
         let before: Vec<u64> = self.voters.keys().copied().collect();
         self.voters.extend(added);
@@ -240,15 +245,18 @@
         self.version += 1;
     }
 
-    /// Whether a disk that voted once was replaced: a member with such a number is about to begin anew.
+    /// Whether this identifier voted once and was replaced: a member that still has it is about to take a
+    /// new one.
     pub fn is_retired(&self, id: u64) -> bool {
         self.retired.contains(&id)
     }
 
-    /// Whether all members can read a command. Those that are away count: they come back as they went.
+    /// Whether all members can read a command. Members that are away count, since they may return with the
+    /// version that they left with.
     ///
     /// # Errors
-    /// One can't.
+    ///
+    /// A member's version is too old.
     pub fn check_supported(&self, command: &Command) -> Result<(), Rejection> {
         let introduced_in = command.introduced_in();
         match self.roster.iter().find(|(_, machine)| machine.minor < introduced_in) {
@@ -259,12 +267,13 @@
         }
     }
 
-    /// What became of a command, if it is remembered.
+    /// The outcome of a command, if it is still remembered.
     pub fn outcome_of(&self, id: CommandId) -> Option<&Outcome> {
         self.outcomes.iter().find(|(known, _)| *known == id).map(|(_, outcome)| outcome)
     }
 
-    /// Carries out one entry. One that was said before is not done again, and gets the same answer.
+    /// Applies a log entry. A command that was applied before is not executed again and has the same
+    /// outcome.
     pub fn apply(&mut self, entry: &LogEntry) -> Outcome {
         self.time_ms = self.time_ms.max(entry.at_ms);
         if let Some(outcome) = self.outcome_of(entry.id) {
@@ -291,14 +300,14 @@
                 Ok(())
             }
             Command::FailOver { stream, epoch, name, boot } => {
-                let present = self.epoch(*stream).unwrap_or(u64::MAX);
-                // Exactly one: whoever was decided on by an older epoch is none.
-                if present.checked_add(1) != Some(*epoch) {
+                let current = self.epoch(*stream).unwrap_or(u64::MAX);
+                // Exactly one successor per epoch: a failover decided by an older epoch is void.
+                if current.checked_add(1) != Some(*epoch) {
                     let machine = format!("stream {stream:x}");
-                    return Err(Rejection::Fenced { machine, told: *epoch, present });
+                    return Err(Rejection::Fenced { machine, received: *epoch, current });
                 }
                 if self.stream_owners.len() >= MAX_STREAMS && !self.stream_owners.contains_key(stream) {
-                    return Err(Rejection::LimitReached("successions".into()));
+                    return Err(Rejection::LimitReached("streams that failed over".into()));
                 }
                 let authority = StreamOwner { name: name.clone(), boot: *boot, epoch: *epoch };
                 self.stream_owners.insert(*stream, authority);
@@ -306,10 +315,10 @@
                 Ok(())
             }
             Command::CloseStream { stream, epoch } => {
-                let present = self.epoch(*stream).unwrap_or(u64::MAX);
-                if present != *epoch || !self.stream_owners.contains_key(stream) {
+                let current = self.epoch(*stream).unwrap_or(u64::MAX);
+                if current != *epoch || !self.stream_owners.contains_key(stream) {
                     let machine = format!("stream {stream:x}");
-                    return Err(Rejection::Fenced { machine, told: *epoch, present });
+                    return Err(Rejection::Fenced { machine, received: *epoch, current });
                 }
                 self.stream_owners.remove(stream);
                 self.closed_streams.push_back(*stream);
@@ -348,12 +357,12 @@
             Command::Withdraw { machine } => self.transition(machine, Event::Withdraw),
             Command::Finish { machine } => self.transition(machine, Event::Finish),
             Command::ReportEvent { machine, approval, event } => {
-                let present =
+                let current =
                     self.open_request(machine).ok_or_else(|| Rejection::NoRequest(machine.clone()))?.approval;
-                // The fence: a number that is not the present one is an older one.
-                if present != Some(*approval) {
-                    let (machine, present) = (machine.clone(), present.unwrap_or(0));
-                    return Err(Rejection::Fenced { machine, told: *approval, present });
+                // Fencing: an approval number other than the current one is outdated.
+                if current != Some(*approval) {
+                    let (machine, current) = (machine.clone(), current.unwrap_or(0));
+                    return Err(Rejection::Fenced { machine, received: *approval, current });
                 }
                 self.transition(machine, *event)
             }
@@ -407,7 +416,7 @@
         Ok(())
     }
 
-    /// Whether `machine` waits for `other`, straight or by others.
+    /// Whether `machine` waits for `other`, directly or through others.
     fn depends_on(&self, machine: &str, other: &str) -> bool {
         let mut looked = Vec::new();
         let mut look = vec![machine];
@@ -426,7 +435,7 @@
         false
     }
 
-    /// Whether all that a request comes after is over.
+    /// Checks that all requests that this one waits for are closed.
     pub fn check_dependencies(&self, item: &MaintenanceRequest) -> Result<(), Rejection> {
         match item.after.iter().find(|before| self.open_request(before).is_some()) {
             Some(before) => Err(Rejection::WaitsFor(before.clone())),
@@ -434,8 +443,8 @@
         }
     }
 
-    /// What the log itself holds to, whoever leads: nothing while staff say so, never more than `most_out`,
-    /// never two zones, never the majority of the council.
+    /// Limits that the log enforces under any leader: no approval while operators suspend them, at most
+    /// `max_out` machines out, machines of one zone only, and a majority of the voters stays.
     pub fn check_limits(&self, machine: &str, max_out: u32) -> Result<(), Rejection> {
         let item = self.open_request(machine).ok_or_else(|| Rejection::NoRequest(machine.into()))?;
         self.check_dependencies(item)?;
@@ -464,7 +473,7 @@
     }
 
     fn approve(&mut self, machine: &str, base_version: u64, max_out: u32) -> Outcome {
-        // Whoever decided by another state than this one may have missed a grant.
+        // A decision by an older state may have missed an approval.
         if base_version != self.version {
             return Err(Rejection::StaleVersion { base_version, version: self.version });
         }
--- a/fleet/src/consensus.rs
+++ b/fleet/src/consensus.rs
@@ -1,8 +1,8 @@
-//! One voting member of the council: the raft engine, what it keeps, and the order in which things happen.
+//! One member of the consensus group: the Raft engine, its storage, and the order of writes and messages.
 //!
-//! The engine ([`raft::RawNode`]) is driven by ticks and messages. What it wants kept goes out as [`Write`]
-//! ahead of every message that speaks of it ([`Step`]s are in that order), so a caller that writes before it
-//! sends never speaks of a vote or an entry that a crash could undo.
+//! The engine ([`raft::RawNode`]) is driven by ticks and messages. What it wants persisted is emitted as
+//! [`Write`] before every message that depends on it ([`Output`]s are in this order). A caller that writes
+//! before it sends therefore never sends a vote or an entry that a crash could undo.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,29 +12,30 @@
 };
 use raft::{GetEntriesContext, RaftState, RawNode, SnapshotStatus, StateRole, Storage, StorageError};
 
-/// An election is called after so many ticks without a word of the leader, or up to twice as many.
+/// An election starts after this many ticks without a message from the leader, and after less than twice as
+/// many.
 const ELECTION_TICKS: usize = 10;
 const HEARTBEAT_TICKS: usize = 2;
-/// The first to ask for votes waits so much longer, so that no other still counts on the leader.
+/// Extra delay of the first candidate, so that no other voter still considers the leader alive.
 const FIRST_CANDIDATE_DELAY_TICKS: usize = 2;
-/// So many applied entries are folded into a snapshot.
+/// Number of applied entries after which the log is compacted into a snapshot.
 const ENTRIES_PER_SNAPSHOT: u64 = 64;
-/// Entries that are on their way to one follower at once, and the bytes of a message.
+/// Bounds on the messages in flight to one follower, and on the bytes of one message.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
 const MAX_MESSAGE_BYTES: u64 = 64 * 1024;
 
-/// What must be on disk before anything that comes after it is done.
+/// What must be on disk before any later output is carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// Term, vote and commit.
+    /// Term, vote and commit index.
     HardState(Vec<u8>),
-    /// Entries by index. Those from the first of them on that were there before are no more.
+    /// Entries by index. Existing entries from the first of these indices on are replaced.
     Entries(Vec<(u64, Vec<u8>)>),
-    /// The state at an index. All that is at that index or below may go; with `whole`, all entries go.
+    /// The state at an index. Entries up to this index may be deleted; with `replace_all`, all entries are.
     Snapshot { index: u64, bytes: Vec<u8>, replace_all: bool },
 }
 
-/// What was on disk at a start.
+/// What was on disk at the start.
 #[derive(Clone, Debug, Default)]
 pub struct PersistedLog {
     pub hard: Vec<u8>,
@@ -42,7 +43,7 @@
     pub entries: Vec<Vec<u8>>,
 }
 
-/// What is to be done, in this order.
+/// What the caller must do, in this order.
 #[derive(Clone, Debug)]
 pub enum Output {
     Write(Write),
@@ -50,17 +51,18 @@
         to: u64,
         bytes: Vec<u8>,
     },
-    /// A committed entry, once, in the order of the log.
+    /// A committed entry. Emitted once, in log order.
     Apply {
         index: u64,
         data: Vec<u8>,
     },
-    /// The voters have changed: the engine's numbers of those that vote now, and what came with the change.
+    /// The set of voters changed: the Raft identifiers of the present voters, and the context of the
+    /// change.
     VotersChanged {
         ids: Vec<u64>,
         context: Vec<u8>,
     },
-    /// Everything before is replaced by this.
+    /// Replaces the whole state by a snapshot.
     Restore {
         data: Vec<u8>,
         ids: Vec<u64>,
@@ -69,13 +71,13 @@
 
 #[derive(Debug, thiserror::Error)]
 pub enum ConsensusError {
-    #[error("what was kept can't be read: {0}")]
+    #[error("the persisted log can't be decoded: {0}")]
     PersistedLog(#[from] protobuf::ProtobufError),
-    #[error("the engine refuses what was kept: {0}")]
+    #[error("the Raft engine rejects the persisted log: {0}")]
     Engine(#[from] raft::Error),
 }
 
-/// The log in memory, as it is on disk.
+/// The log in memory, identical to the one on disk.
 #[derive(Default)]
 struct LogStore {
     hard: HardState,
@@ -156,7 +158,7 @@
 }
 
 impl Consensus {
-    /// What the founder of a council keeps: itself as the only voter, and `data` as the state.
+    /// The initial log of a new group: `id` as the only voter, and `data` as the state.
     pub fn initial_snapshot(id: u64, data: Vec<u8>) -> Write {
         let mut snapshot = Snapshot::default();
         snapshot.set_data(data.into());
@@ -166,11 +168,12 @@
         Write::Snapshot { index: 1, bytes: encode(&snapshot), replace_all: true }
     }
 
-    /// Goes on from what was kept; with nothing kept, a member that waits to be made a voter. The first step
-    /// of [`Council::steps`] restores the state that was kept.
+    /// Resumes from a persisted log; an empty one makes a member that waits to become a voter. The
+    /// persisted state is returned by [`Consensus::restored_state`].
     ///
     /// # Errors
-    /// What was kept can't be read.
+    ///
+    /// The persisted log can't be decoded.
     pub fn new(id: u64, persisted: &PersistedLog) -> Result<Self, ConsensusError> {
         let mut store = LogStore::default();
         store.hard.merge_from_bytes(&persisted.hard)?;
@@ -189,8 +192,8 @@
             applied: compacted_index,
             max_size_per_msg: MAX_MESSAGE_BYTES,
             max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
-            // A leader that hears no majority steps down, and one that was cut off calls no elections that
-            // it can't win.
+            // A leader without contact to a majority steps down, and a partitioned voter starts no
+            // elections that it can't win.
             check_quorum: true,
             pre_vote: true,
             ..raft::Config::default()
@@ -200,14 +203,14 @@
         Ok(Consensus { raw: RawNode::new(&config, store, &logger)?, voters, applied: compacted_index })
     }
 
-    /// The state at the start, with the voters of that time.
+    /// The state at the start, with its voters.
     pub fn restored_state(&self) -> Option<(Vec<u8>, Vec<u64>)> {
         let snapshot = &self.raw.store().snapshot;
         let persisted = snapshot.get_metadata().index > 0;
         persisted.then(|| (snapshot.get_data().to_vec(), self.voter_ids()))
     }
 
-    /// The numbers of all that vote now, in both halves of a joint change.
+    /// The identifiers of all voters, in both halves of a joint configuration.
     pub fn voter_ids(&self) -> Vec<u64> {
         let mut ids = self.voters.get_voters().to_vec();
         ids.extend_from_slice(self.voters.get_voters_outgoing());
@@ -216,7 +219,8 @@
         ids
     }
 
-    /// Whether these and this member are a majority, in both halves of a joint change.
+    /// Whether these voters together with this member are a majority, in both halves of a joint
+    /// configuration.
     pub fn is_majority(&self, others: &BTreeSet<u64>) -> bool {
         let half = |voters: &[u64]| {
             let with = voters.iter().filter(|id| others.contains(id) || **id == self.raw.raft.id).count();
@@ -229,7 +233,7 @@
         self.voter_ids().contains(&self.raw.raft.id)
     }
 
-    /// Whether a change of voters is under way.
+    /// Whether a change of the voters is in progress.
     pub fn is_joint(&self) -> bool {
         !self.voters.get_voters_outgoing().is_empty() || self.raw.raft.has_pending_conf()
     }
@@ -238,7 +242,7 @@
         self.raw.raft.state == StateRole::Leader
     }
 
-    /// Whether it leads and has applied all that leaders before it had committed.
+    /// Whether this member leads and has applied all that earlier leaders committed.
     pub fn has_confirmed_leadership(&self) -> bool {
         let raft = &self.raw.raft;
         self.is_leader() && raft.commit_to_current_term() && self.applied == raft.raft_log.committed
@@ -257,9 +261,9 @@
     }
 
     pub fn tick(&mut self) {
-        // The engine draws its patience by chance, and two that draw the same split the votes. Here it is by
-        // the place among all voters in an order of the term's: no two are alike, and a life under a fake now
-        // can be lived again.
+        // The engine draws its election timeout at random, and two voters with the same timeout split the
+        // votes. Here the timeout follows from the voter's rank in an order that depends on the term: no
+        // two are alike, and simulations are reproducible.
         let (own, term) = (self.raw.raft.id, self.raw.raft.term);
         let priority = |id: u64| {
             ((id ^ term.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 32, id)
@@ -273,7 +277,7 @@
         self.raw.tick();
     }
 
-    /// Those that are to be sent a snapshot anew, since the one before may have been lost.
+    /// Resends snapshots that are in progress, since they may have been lost.
     pub fn retry_snapshots(&mut self) {
         let waiting: Vec<u64> = self
             .raw
@@ -288,18 +292,18 @@
         }
     }
 
-    /// Takes a message in; what can't be read or is for nobody here is dropped.
+    /// Passes in a message. Drops it if it can't be decoded or is for another identifier.
     pub fn receive(&mut self, bytes: &[u8]) -> bool {
         let Ok(message) = Message::parse_from_bytes(bytes) else { return false };
         message.to == self.raw.raft.id && self.raw.step(message).is_ok()
     }
 
-    /// Has an entry put into the log, where this member leads.
+    /// Proposes an entry, if this member leads.
     pub fn propose(&mut self, data: Vec<u8>) -> bool {
         self.is_leader() && self.raw.propose(Vec::new(), data).is_ok()
     }
 
-    /// Replaces voters by a joint change. `context` goes with it to all members.
+    /// Changes the voters by a joint configuration change. `context` is replicated with the change.
     pub fn replace_voters(&mut self, add: &[u64], remove: &[u64], context: Vec<u8>) -> bool {
         let single = |id: u64, kind| {
             let mut change = ConfChangeSingle::default();
@@ -315,12 +319,13 @@
         self.is_leader() && !self.is_joint() && self.raw.propose_conf_change(Vec::new(), change).is_ok()
     }
 
-    /// Gives the lead away, where this member is about to go.
+    /// Transfers leadership to another voter, before this member leaves.
     pub fn transfer_leadership(&mut self, to: u64) {
         self.raw.transfer_leader(to);
     }
 
-    /// What is to be done now. `state` gives the state after all that was applied, for a snapshot.
+    /// Runs the engine and returns what is to be done. `apply` applies an output and returns the state
+    /// after it, for a snapshot.
     pub fn process_ready(&mut self, mut apply: impl FnMut(&Output) -> Vec<u8>) -> Vec<Output> {
         let mut outputs = Vec::new();
         while self.raw.has_ready() {
@@ -389,7 +394,7 @@
                     }
                     Some(Output::VotersChanged { ids: self.voter_ids(), context })
                 }
-                // A new leader's first entry holds nothing.
+                // A new leader's first entry is empty.
                 EntryType::EntryNormal if entry.data.is_empty() => None,
                 EntryType::EntryNormal => Some(Output::Apply { index, data: entry.data.to_vec() }),
             };
@@ -404,7 +409,7 @@
         }
     }
 
-    /// Folds all up to `index` into a snapshot.
+    /// Compacts the log up to `index` into a snapshot.
     fn compact(&mut self, index: u64, term: u64, state: Vec<u8>) -> Write {
         let mut snapshot = Snapshot::default();
         snapshot.set_data(state.into());
@@ -424,11 +429,11 @@
 }
 
 fn encode(message: &impl protobuf::Message) -> Vec<u8> {
-    // Fails only where a required field is missing, and these have none.
+    // Fails only if a required field is missing, and these messages have none.
     message.write_to_bytes().unwrap_or_default()
 }
 
-/// The log as it is on a disk: what [`Write`]s add up to. Stores do the same on their own pages.
+/// The log as it is on disk: the sum of all [`Write`]s. Stores on disk behave the same.
 #[derive(Clone, Debug, Default)]
 pub struct LogImage {
     hard: Vec<u8>,
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,23 +1,27 @@
-//! A fleet of call agents that know of each other. No I/O, no clock, no wire: time comes in as an argument,
-//! and what is to be written, sent or done goes out as [`node::Effect`]s, in the order in which it must
-//! happen.
+//! Cluster of call agents: membership, consensus group, planned maintenance and ownership of replication
+//! streams.
 //!
-//! Three kinds of knowledge are kept apart:
+//! The crate does no I/O and reads no clock: time is an argument, and everything to write, send or do is
+//! returned as [`node::Effect`]s, in the order in which it must happen.
 //!
-//! - *seen*: what this call agent itself does and holds ([`words::Status`] of its own);
-//! - *told*: who is alive ([`swim`], over a SWIM library) and how the others are (their statuses, with an
-//!   age);
-//! - *agreed*: the council's log ([`council`], over a raft library) and what follows from it ([`agreed`]).
+//! It keeps three kinds of knowledge apart:
 //!
-//! Work on machines ([`work`]) is agreed; in which order it is granted ([`order`]) follows from what is told.
-//! A machine leaves only by what is agreed, asked for afresh at the moment of leaving ([`node`]).
+//! - local: what this call agent does and holds itself (its own [`messages::Status`]);
+//! - reported: who is alive ([`swim`], on a SWIM library) and the status of the other members, each with an
+//!   age;
+//! - agreed: the log of the consensus group ([`consensus`], on a Raft library) and the state that it
+//!   determines ([`cluster_state`]).
+//!
+//! Maintenance requests ([`maintenance`]) are part of the agreed state; the order of their approvals
+//! ([`scheduler`]) depends on reported knowledge. A machine leaves only by an agreed approval, which it
+//! confirms through the log at the moment of leaving ([`node`]).
 //!
 //! ```
-//! use steprelay_fleet::work::{transition, Event, State};
+//! use steprelay_fleet::maintenance::{transition, Event, State};
 //!
 //! let approved = transition(State::Requested, false, Event::Approve).unwrap();
 //! assert_eq!(approved, State::Approved);
-//! assert!(transition(approved, false, Event::Drained).is_err(), "only a draining machine reports this");
+//! assert!(transition(approved, false, Event::Drained).is_err(), "the machine has not begun to drain");
 //! ```
 
 pub mod cluster_state;
@@ -28,5 +32,5 @@
 pub mod scheduler;
 pub mod swim;
 
-/// Milliseconds of a monotonic clock, from any start.
+/// Milliseconds of a monotonic clock with an arbitrary origin.
 pub type Millis = u64;
--- a/fleet/src/maintenance.rs
+++ b/fleet/src/maintenance.rs
@@ -1,7 +1,8 @@
-//! Work on one machine: a state a row, an event a column, every cell filled ([`step`]).
+//! The state machine of the maintenance of one machine: [`transition`] covers every event in every state.
 //!
-//! From `draining` on, nobody but the machine itself ends its being out: it says that it is [`Event::Back`].
-//! So a machine that is out is always one that the council counts as out, whatever was lost or late.
+//! From `draining` on, only the machine itself ends its being out, by reporting [`Event::Returned`]. A
+//! machine that is out therefore always counts as out in the agreed state, whatever messages were lost or
+//! late.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,21 +10,21 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// Staff have asked.
+    /// Requested by an operator.
     Requested,
-    /// The machine may go, and has not begun to.
+    /// The machine may leave, and has not begun to.
     Approved,
-    /// It takes no new work.
+    /// The machine accepts no new work.
     Draining,
-    /// Nothing stands there any more.
+    /// The machine has drained.
     Out,
-    /// Work is over; it is on its way back.
+    /// Maintenance is finished; the machine is returning.
     Returning,
     Done,
     Withdrawn,
-    /// Out or draining for longer than was asked for.
+    /// Draining or out for longer than requested.
     Overdue,
-    /// It was lost while it drained or came back.
+    /// Lost while it drained or returned.
     Lost,
 }
 
@@ -40,7 +41,7 @@
         State::Lost,
     ];
 
-    /// The word that staff's scripts read.
+    /// The name of the state, as operators' scripts read it.
     pub fn as_str(self) -> &'static str {
         match self {
             State::Requested => "requested",
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Whether the machine may be out, or may go at any moment.
+    /// Whether the machine may be out, or may leave at any moment.
     pub fn counts_as_out(self) -> bool {
         !matches!(self, State::Requested | State::Done | State::Withdrawn)
     }
@@ -67,27 +68,27 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Event {
-    /// The council lets the machine go.
+    /// The consensus group lets the machine leave.
     Approve,
     /// The machine asks whether it may leave now.
     Begin,
-    /// The machine says that nothing stands there.
+    /// The machine reports that it has drained.
     Drained,
-    /// Staff say that the work is over.
+    /// An operator reports that maintenance is finished.
     Finish,
-    /// Staff take the request back.
+    /// An operator withdraws the request.
     Withdraw,
-    /// Staff give it more time.
+    /// An operator grants more time.
     Extend,
-    /// The machine says that it serves again.
+    /// The machine reports that it serves again.
     Returned,
-    /// Its time is over.
+    /// The requested duration has passed.
     DeadlinePassed,
     /// The machine is lost.
     MachineLost,
-    /// It was granted and has not begun.
+    /// The machine was approved and has not begun to leave in time.
     Lapse,
-    /// The moment has passed until when it was wanted.
+    /// The request has expired.
     Expire,
 }
 
@@ -107,27 +108,28 @@
     ];
 }
 
-/// Why an event is not for a state.
+/// Why an event is invalid in a state. The texts are part of rejections shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum InvalidTransition {
-    #[error("it is not granted")]
+    #[error("it has not been granted")]
     NotApproved,
-    #[error("it is granted already")]
+    #[error("it is already granted")]
     AlreadyApproved,
-    #[error("the machine has not left yet; withdraw it instead")]
+    #[error("the machine has not left yet; withdraw the request instead")]
     MachineStillIn,
-    #[error("the machine is not on its way back")]
+    #[error("the machine is not returning")]
     NotReturning,
-    #[error("it is over")]
+    #[error("the request is closed")]
     Closed,
-    #[error("that time has not come")]
+    #[error("the event does not apply in this state")]
     NotApplicable,
 }
 
-/// What an event makes of a state. `drained`: it was out, before it became overdue.
+/// Returns the state after an event. `drained`: the machine had drained before it became overdue.
 ///
 /// # Errors
-/// The event is not for this state, and changes nothing.
+///
+/// The event is invalid in this state and changes nothing.
 pub fn transition(state: State, drained: bool, event: Event) -> Result<State, InvalidTransition> {
     use Event as E;
     use State as S;
@@ -154,14 +156,14 @@
         (S::Approved, E::Returned) => Err(InvalidTransition::NotReturning),
         (S::Approved, E::DeadlinePassed) => Err(InvalidTransition::NotApplicable),
 
-        // Asked again, since the answer may have been lost: it may go, and is counted as out.
+        // Asked again, since the response may have been lost: the machine may leave, and counts as out.
         (S::Draining | S::Out | S::Overdue, E::Begin) => Ok(state),
         (S::Draining | S::Out, E::Drained) => Ok(S::Out),
         (S::Overdue, E::Drained) => Ok(S::Overdue),
         (S::Draining | S::Out, E::DeadlinePassed) => Ok(S::Overdue),
         (S::Draining, E::MachineLost) => Ok(S::Lost),
         (S::Overdue, E::MachineLost) if !drained => Ok(S::Lost),
-        // A machine under work is expected to be away.
+        // A machine under maintenance is expected to be unreachable.
         (S::Out | S::Overdue, E::MachineLost) => Err(InvalidTransition::NotApplicable),
         (S::Draining | S::Out | S::Overdue, E::Extend) => Ok(after_all),
         (S::Draining | S::Out | S::Overdue, E::Finish | E::Withdraw) => Ok(S::Returning),
@@ -176,7 +178,7 @@
 
         (S::Lost, E::Returned) => Ok(S::Done),
         (S::Lost, E::Finish) => Ok(S::Returning),
-        // Staff say that it is lost for good.
+        // An operator declares the machine lost for good.
         (S::Lost, E::Withdraw) => Ok(S::Withdrawn),
         (S::Lost, E::Begin) => Err(InvalidTransition::NotApproved),
         (S::Lost, E::Drained | E::Extend | E::DeadlinePassed | E::MachineLost) => {
@@ -187,38 +189,38 @@
     }
 }
 
-/// What kind of machine is worked on.
+/// The kind of machine under maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TargetKind {
-    /// A call agent's.
+    /// The machine of a call agent.
     Agent,
     /// A check server, by its number.
     Server(u32),
 }
 
-/// A request for work, and what became of it.
+/// A maintenance request and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MaintenanceRequest {
     pub machine: String,
     pub kind: TargetKind,
-    /// Of a call agent's machine; empty for a check server.
+    /// Zone of a call agent's machine; empty for a check server.
     pub zone: String,
     pub reason: String,
-    /// How long it may be out.
+    /// How long the machine may be out.
     pub for_ms: Millis,
-    /// Fleet time at which it was asked for; until when it is wanted.
+    /// Cluster time of the request, and at which it expires.
     pub requested_at_ms: Millis,
     pub expires_at_ms: Option<Millis>,
-    /// Machines whose work must be over before.
+    /// Machines whose requests must be closed before this one is approved.
     pub after: Vec<String>,
     pub state: State,
     pub drained: bool,
-    /// The number of the present or last grant: it only grows over the whole log.
+    /// Number of the current or last approval. Fencing token: numbers grow over the whole log.
     pub approval: Option<u64>,
-    /// Fleet time at which the present state began, and at which it is overdue.
+    /// Cluster time at which the present state began, and at which the machine is overdue.
     pub state_since_ms: Millis,
     pub due_at_ms: Option<Millis>,
-    /// Grants that went to others while this one could have had one.
+    /// Approvals given to others while this request was eligible.
     pub times_passed_over: u32,
 }
 
@@ -244,8 +246,8 @@
         insta::assert_snapshot!(table);
     }
 
-    /// Without the machine's own word nothing brings it from out to not counted, but staff's word that it is
-    /// lost for good.
+    /// Only the machine itself ends its being out, except that an operator may declare a lost one gone for
+    /// good.
     #[test]
     fn only_the_machine_ends_its_being_out() {
         for state in State::ALL.into_iter().filter(|state| state.counts_as_out()) {
--- a/fleet/src/messages.rs
+++ b/fleet/src/messages.rs
@@ -1,4 +1,4 @@
-//! What members say to each other. How that goes over a link is the front's matter.
+//! Messages between members. The caller transfers them. All of them are encoded by postcard, by position.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,22 +6,22 @@
 use crate::swim::Member;
 use crate::Millis;
 
-/// Members of one major version understand each other. A newer minor one may say things that an older one
-/// passes over, and puts nothing into the log that any member can't read
-/// ([`level`](crate::agreed::Agreed::level)). 1.1: staff can pause all work. 1.2: members hold copies for
-/// others, and succeed those that are lost.
+/// Protocol version. Members of one major version understand each other. A member of a newer minor version
+/// may send messages that an older one ignores, but it puts nothing into the log that any member can't read
+/// ([`ClusterState::check_supported`](crate::cluster_state::ClusterState::check_supported)). 1.1: operators
+/// can suspend approvals. 1.2: replication between members and failover.
 pub const MAJOR: u16 = 1;
 pub const MINOR: u16 = 2;
-/// Names one council from its founding on: its number grows with each refounding.
+/// Identifies a consensus group from its creation on: its number grows each time a group is refounded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GroupId {
     pub number: u64,
-    /// Of the member that founded it, so that two of one number differ.
+    /// Identity of the member that created the group, so that two groups of one number differ.
     pub founder: u64,
 }
 
 impl GroupId {
-    /// Whether there is one.
+    /// Whether a group is known.
     pub fn is_some(self) -> bool {
         self.number > 0
     }
@@ -31,39 +31,39 @@
 pub struct Envelope {
     pub cluster: String,
     pub from: Member,
-    /// The council that the sender knows of.
+    /// The consensus group that the sender knows.
     pub group_id: GroupId,
     pub payload: Payload,
-    /// The minor version that the sender speaks. The front says it ahead of the rest, so that one that speaks
-    /// another is understood as far as it goes.
+    /// The sender's minor protocol version. The caller sends it ahead of the encoded envelope, so that a
+    /// receiver of another version decodes what it knows.
     #[serde(skip)]
     pub minor: u16,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// The first word of whoever dials.
+    /// The first message on a connection, sent by the side that opened it.
     Hello,
-    /// What is known here of the other: the highest life of its name, and whether its disk is the one that
-    /// was last seen (and not an older copy). It is `about` a disk in one start; the first one is answered
-    /// by another, `back`.
+    /// What the sender knows of the receiver: the highest incarnation of its name, and whether its disk is
+    /// the one seen last and not an older copy. `recipient` is a disk identity and a boot identifier. A
+    /// first welcome is answered by another with `is_reply`.
     Welcome {
         recipient: (u64, u64),
         incarnation: u64,
         disk_is_current: bool,
         is_reply: bool,
     },
-    /// No link, and why. It is closed after this.
+    /// The connection is rejected, with the reason, and closed after this.
     Rejected(String),
     Gossip(Vec<u8>),
-    /// Between voters.
+    /// A Raft message between voters.
     Raft(Vec<u8>),
-    /// How the sender is, and which state of what is agreed it has.
+    /// The sender's status, and the log index of the state it has.
     StatusReport {
         known_index: u64,
         status: Status,
     },
-    /// What is agreed, where it is newer than what the other has, and who leads.
+    /// The agreed state, if it is newer than the receiver's, and the current leader.
     StateUpdate {
         index: u64,
         leader: Option<String>,
@@ -77,47 +77,47 @@
         id: CommandId,
         response: LeaderResponse,
     },
-    /// The sender is about to end in order.
+    /// The sender is about to shut down gracefully.
     Leaving,
-    /// To the leader: the sender wants its lease renewed, by its own clock at `asked`, for the streams that
-    /// it writes; and what it holds for others.
+    /// To the leader: requests renewal of the sender's lease for the streams it owns, and reports the
+    /// replicas that it holds. `requested_at` is by the sender's clock.
     RenewLease {
         requested_at: Millis,
         owned_streams: Vec<StreamEpoch>,
         held_replicas: Vec<HeldReplica>,
     },
-    /// The leader's word that all of them are still the sender's to write, in that start of its program: one
-    /// that comes late must not count for the next.
+    /// From the leader: the lease is renewed for all streams of the request. `boot` identifies the process
+    /// start that requested it, since a late response must not count for the next start.
     LeaseRenewed {
         boot: u64,
         requested_at: Millis,
     },
-    /// Between those that write and hold copies; the front knows how to read it.
+    /// A replication message between a primary and its replicas, decoded by the caller.
     Replication(Vec<u8>),
 }
 
-/// A stream of copies, and the epoch by which it is written.
+/// A replication stream, and the epoch by which its primary writes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamEpoch {
     pub stream: u64,
     pub epoch: u64,
 }
 
-/// What a member holds of a stream that another writes.
+/// A replica of another member's stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldReplica {
     pub stream: StreamEpoch,
-    /// Who wrote it last, in which start of its program.
+    /// The last primary, and the boot identifier of its process start.
     pub primary: String,
     pub primary_boot: u64,
     pub sequence: u64,
 }
 
-/// Of members, and of staff by way of members, to the leader.
+/// Requests to the leader, from members or from operators by way of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderRequest {
     Execute(Command),
-    /// Why a machine has not been granted its work yet.
+    /// Asks why a machine's request has not been approved yet.
     Explain(String),
 }
 
@@ -125,24 +125,24 @@
 pub enum LeaderResponse {
     Outcome(Outcome),
     Text(String),
-    /// Ask this one, or anybody else.
+    /// The sender does not lead; names the leader if known.
     NotLeader(Option<String>),
 }
 
-/// How a call agent is, as it sees itself. Rates are in thousandths a second.
+/// The status of a call agent, as reported by itself. Rates are in thousandths per second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     pub serving: bool,
     /// Set-ups offered, as a mean of the last seconds.
     pub load_milli: u64,
-    /// What it can take, by its file; 0 where that is not known.
+    /// Configured capacity; 0 if unknown.
     pub capacity_milli: u64,
-    /// Calls taken and not ended.
+    /// Calls accepted and not ended.
     pub calls: u32,
-    /// Check servers that it uses, and those of them that it avoids.
+    /// Check servers in use, and how many of them are avoided.
     pub servers: u32,
     pub avoided: u32,
-    /// Check servers that it keeps set-ups from, with the grant, and whether calls still stand there.
+    /// Check servers that get no new set-ups, each with the approval number and whether it still has calls.
     pub held: Vec<(u32, u64, bool)>,
     /// For each class of calls, the check servers that can serve it now.
     pub classes: Vec<Vec<u32>>,
--- a/fleet/src/node/commands.rs
+++ b/fleet/src/node/commands.rs
@@ -1,12 +1,13 @@
-//! Following the council, and commands: those of staff by way of this member, and those of others to it as
-//! the leader.
+//! Following the agreed state as a member without a vote, and requests: those of operators by way of this
+//! member, and those that members send to it as the leader.
 
 use super::*;
 
-/// Statuses go to the leader so often in a small fleet; and this longer for each member.
+/// Interval of status reports to the leader in a small cluster, and its growth per member.
 const STATUS_INTERVAL: Millis = 250;
 const STATUS_INTERVAL_PER_MEMBER: Millis = 10;
-/// A command is said again to whoever leads after this, and given up after that.
+/// A request without a response is sent again to the current leader after `REQUEST_RETRY`, and fails after
+/// `REQUEST_TIMEOUT`.
 const REQUEST_RETRY: Millis = 500;
 const REQUEST_TIMEOUT: Millis = 8_000;
 const MAX_PENDING_PROPOSALS: usize = 1024;
@@ -16,7 +17,7 @@
         STATUS_INTERVAL.max(STATUS_INTERVAL_PER_MEMBER * (self.peers.len() as Millis + 1))
     }
 
-    /// A status is fresh up to this age.
+    /// A status up to this age is considered current.
     pub(super) fn max_status_age(&self) -> Millis {
         3 * self.status_interval() + 500
     }
@@ -29,7 +30,7 @@
         let known = self.leader_name().and_then(|name| self.peers.get(&name));
         let known = known.filter(|peer| peer.health == Health::Alive).map(|peer| peer.member.address);
         let to = known.or_else(|| {
-            // Anybody may know more than we do; another one every time.
+            // Without a known leader any member may have a newer state: asks a different one each time.
             let others = self.addresses();
             self.next_peer += 1;
             (!others.is_empty()).then(|| others[self.next_peer % others.len()])
@@ -51,16 +52,22 @@
         let cluster_state: Option<ClusterState> =
             cluster_state.and_then(|bytes| postcard::from_bytes(&bytes).ok());
         if self.consensus.as_ref().is_some_and(Consensus::is_voter) {
-            // A voter hears of it by the log; but one that was replaced while it heard nothing never does.
+            // A voter learns the state from the log, but one that was replaced while it was unreachable
+            // gets no more entries.
             let gone = cluster_state
                 .is_some_and(|cluster_state| !cluster_state.voters.contains_key(&self.persistent.node));
             if gone && index > self.persistent.index {
-                self.reset_identity(now, 0, "the council went on without this member");
+                self.reset_identity(
+                    now,
+                    0,
+                    "the consensus group has replaced this member while it was unreachable",
+                );
             }
             return;
         }
         if leader.is_some() {
-            // Where to request, whoever says so; but only a voter knows that there is one.
+            // The hint at the leader is taken from any member, but only a voter's hint proves that a leader
+            // exists.
             if self.persistent.cluster_state.voters.contains_key(&from.node) {
                 self.leader_seen_at = now;
             }
@@ -77,7 +84,7 @@
         }
     }
 
-    /// Says what is under way again where nobody answered, and gives up in time.
+    /// Resends requests without a response and fails those that timed out.
     pub(super) fn retry_requests(&mut self, now: Millis) {
         let due: Vec<CommandId> = self
             .pending_requests
@@ -107,7 +114,7 @@
         self.process_consensus(now);
     }
 
-    /// Somebody asks this member as the leader.
+    /// Handles a request addressed to this member as the leader.
     pub(super) fn handle_request(&mut self, id: CommandId, request: LeaderRequest, requester: Requester) {
         if !self.is_leader() {
             return self.respond(id, LeaderResponse::NotLeader(self.leader_name()), requester);
@@ -136,7 +143,7 @@
         }
     }
 
-    /// What the leader refuses by what it is response, before the log sees it.
+    /// What the leader rejects from its reported knowledge, before the command enters the log.
     pub(super) fn check_allowed(&self, command: &Command) -> Result<(), Rejection> {
         self.persistent.cluster_state.check_supported(command)?;
         match command {
@@ -155,11 +162,13 @@
                 }
                 Err(Rejection::UnknownMachine(machine.clone()))
             }
-            // These are the leader's own.
+            // Only the leader itself proposes these.
             Command::Approve { .. }
             | Command::AdvanceClock
             | Command::Join { .. }
-            | Command::FailOver { .. } => Err(Rejection::NotAllowed("only the council says that".into())),
+            | Command::FailOver { .. } => {
+                Err(Rejection::NotAllowed("only the leader may propose this".into()))
+            }
             _ => Ok(()),
         }
     }
@@ -175,7 +184,7 @@
         }
     }
 
-    /// A command of the leader's own.
+    /// Proposes a command of the leader itself.
     pub(super) fn propose_own(&mut self, command: Command) {
         self.count += 1;
         let id = CommandId { origin: self.me().boot, count: self.count };
@@ -193,7 +202,7 @@
         if let LeaderResponse::NotLeader(_) = response {
             return;
         }
-        // An answer that came before settles nothing more.
+        // A duplicate response is ignored.
         if self.pending_requests.remove(&id).is_none() {
             return;
         }
@@ -210,7 +219,7 @@
         self.effects.push(Effect::Response { id, response });
     }
 
-    /// Answers that came by way of the log or of what was followed.
+    /// Resolves requests whose outcome is in the applied log or in a received state.
     pub(super) fn resolve_requests(&mut self) {
         let known: Vec<CommandId> = self
             .pending_requests
--- a/fleet/src/node/group.rs
+++ b/fleet/src/node/group.rs
@@ -1,14 +1,16 @@
-//! This member's part in the council: founding it, voting in it, and taking over what it agrees.
+//! Participation in the consensus group: creating it, voting in it, and applying what it commits.
 
 use super::*;
 
-/// What it missed is not made up for beyond this: a member that slept calls no election for it.
+/// Ticks caught up after a gap, at most, so that a member that was stalled doesn't start an election
+/// because of it.
 const MAX_CATCH_UP_TICKS: u64 = 3;
-/// A founder looks for a council that there may be for so long.
+/// How long a founder looks for an existing group before it creates one.
 const GROUP_DISCOVERY_PERIOD: Millis = 2_000;
 
 impl Node {
-    /// Takes up another's council where ours is none or an older one; whether both are of the same one now.
+    /// Adopts another member's group if this member has none or an older one. Returns whether both are in
+    /// the same group now.
     pub(super) fn adopt_group(&mut self, now: Millis, from: &Member, theirs: GroupId) -> bool {
         let ours = self.persistent.group_id;
         if theirs == ours {
@@ -16,7 +18,7 @@
         }
         if theirs.number > ours.number {
             if ours.is_some() {
-                self.log(format!("fleet: council {} of {} replaces ours", theirs.number, from.name));
+                self.log(format!("fleet: adopting consensus group {} of {}", theirs.number, from.name));
             }
             self.persistent.group_id = theirs;
             self.persistent.index = 0;
@@ -26,11 +28,11 @@
         }
         if theirs.number == ours.number && !std::mem::replace(&mut self.group_conflict_logged, true) {
             self.log(format!(
-                "fleet: {} has another council of the same number, staff must choose",
+                "fleet: {} is in another consensus group of the same number, an operator must choose one",
                 from.name
             ));
         }
-        // Another one that is older will take up ours; membership is the same for all.
+        // A member with an older group adopts ours; the membership protocol is independent of groups.
         theirs.number == 0
     }
 
@@ -39,10 +41,11 @@
         if !first || self.persistent.group_id.is_some() || now < self.started + GROUP_DISCOVERY_PERIOD {
             return;
         }
-        // A majority of the founders must know of none: of a council that stands, one of them would know.
+        // A majority of the founders must know of no group: if one existed, at least one of these would
+        // know of it.
         if 2 * (self.founders_without_group.len() + 1) > self.config.founders.len() {
             self.create_group(now, 1);
-            self.log("fleet: the council is founded".into());
+            self.log("fleet: the consensus group is founded".into());
         }
     }
 
@@ -60,8 +63,9 @@
         (self.leader, self.leader_seen_at) = (None, now);
     }
 
-    /// A voter with a log from before may only speak once enough of the others found its disk to be the one
-    /// they had seen last: with itself a majority, so that one of them heard of whatever it had said.
+    /// A voter with a log from an earlier start may take part only once enough other voters confirmed that
+    /// its disk is the one they saw last. Together with this member they must be a majority, so that at
+    /// least one of them received anything it ever sent.
     pub(super) fn may_participate(&mut self) -> bool {
         let is_confirmed = |consensus: &Consensus| consensus.is_majority(&self.confirming_voters);
         self.may_participate = self.may_participate || self.consensus.as_ref().is_none_or(is_confirmed);
@@ -96,7 +100,7 @@
         self.process_consensus(now);
     }
 
-    /// Has the engine do what it has to, and takes over what was agreed.
+    /// Runs the Raft engine, applies committed entries and emits the resulting effects.
     pub(super) fn process_consensus(&mut self, now: Millis) {
         let Some(mut consensus) = self.consensus.take() else { return };
         let voted = consensus.is_voter();
@@ -155,11 +159,11 @@
         }
         self.resolve_requests();
         if replaced {
-            self.reset_identity(now, 0, "the council has replaced this member");
+            self.reset_identity(now, 0, "the consensus group has replaced this member");
         }
     }
 
-    /// A line of the log for staff, at the leader alone.
+    /// Logs a change of maintenance for operators, at the leader only.
     pub(super) fn log_maintenance(&mut self, entry: &LogEntry) {
         if !self.is_leader() {
             return;
@@ -172,7 +176,7 @@
             | Command::Approve { machine, .. }
             | Command::ReportEvent { machine, .. } => machine.clone(),
             Command::Pause { reason: Some(why) } => return self.log(format!("fleet: work is paused: {why}")),
-            Command::Pause { reason: None } => return self.log("fleet: work goes on".into()),
+            Command::Pause { reason: None } => return self.log("fleet: work is resumed".into()),
             Command::FailOver { stream, epoch, name, .. } => {
                 let line = format!("fleet: {name} takes over what stream {stream:x} promised, epoch {epoch}");
                 return self.log(line);
--- a/fleet/src/node/leader.rs
+++ b/fleet/src/node/leader.rs
@@ -1,43 +1,45 @@
-//! What the leader alone does: it looks for trouble, keeps the council whole, and puts work into the log.
+//! The leader's duties: it detects disturbances, maintains the set of voters, and proposes maintenance
+//! events, approvals and failovers.
 
 use super::streams::LeaseTable;
 use super::*;
 
-/// The leader looks at the council and at work so often.
+/// Interval of the leader's checks of the consensus group and of maintenance.
 const LEADER_INTERVAL: Millis = 200;
-/// A command that was put into the log is put there again by the leader if nothing came of it for so long.
+/// The leader proposes again if its last proposal was not applied within this time.
 const PROPOSAL_RETRY: Millis = 1_000;
-/// A machine that was granted its work and does not begin has lost it after this.
+/// An approval lapses if the machine does not begin to leave within this time.
 const APPROVAL_LAPSE: Millis = 10_000;
-/// A voter that is dead for so long is replaced.
+/// A voter that has been dead for this long is replaced.
 const VOTER_REPLACE_AFTER: Millis = 5_000;
-/// Fleet time is put into the log so often while there is work.
+/// Interval of the log entries that advance the cluster time while there are open maintenance requests.
 const CLOCK_ENTRY_INTERVAL: Millis = 2_000;
-/// A voter's snapshot that may have been lost is sent again after this.
+/// A voter's snapshot that may have been lost is sent again after this interval.
 const SNAPSHOT_RETRY: Millis = 2_000;
-/// Load that is no jump, in thousandths a second; and the factor that is one.
+/// A load up to this value (in thousandths of a set-up per second) never counts as a jump; above it a jump
+/// is an increase over the mean by at least the factor.
 const LOAD_JUMP_FLOOR_MILLI: u64 = 20_000;
 const LOAD_JUMP_FACTOR: f64 = 1.5;
 
-/// What the leader alone knows.
+/// State that only the leader keeps.
 pub(super) struct LeaderState {
     pub(super) since: Millis,
-    /// Fleet time when it began to lead.
+    /// Cluster time when it became the leader.
     pub(super) time_ms: Millis,
     pub(super) last_peer_scan: Millis,
-    /// When something was last put into the log, and what had been applied then.
+    /// When it last proposed something, and the log index applied at that time.
     pub(super) last_proposal: (Millis, u64),
     pub(super) disturbance: Option<(String, Millis)>,
     pub(super) mean_load: Option<f64>,
     pub(super) avoided: u64,
-    /// Which members had been well.
+    /// Members that were serving at the last check.
     pub(super) serving: BTreeSet<String>,
-    /// Machines that were on their way back.
+    /// Machines that were returning from maintenance at the last check.
     pub(super) returning_machines: BTreeSet<String>,
     pub(super) last_clock_entry: Millis,
     pub(super) last_snapshot_retry: Millis,
     pub(super) pushed_version: u64,
-    /// Why nothing was granted, as it was last told.
+    /// Why nothing was approved, as last logged.
     pub(super) told: String,
     pub(super) leases: LeaseTable,
 }
@@ -79,7 +81,7 @@
             time_ms,
             last_peer_scan: 0,
             last_proposal: (0, 0),
-            disturbance: Some(("a new leader came".into(), now)),
+            disturbance: Some(("a new leader was elected".into(), now)),
             mean_load: None,
             avoided: u64::MAX,
             serving: BTreeSet::new(),
@@ -107,7 +109,7 @@
         }
         self.detect_disturbance(now);
         let Some(lead) = &mut self.lead else { return };
-        // What was put into the log last is waited for: what follows from it is decided by it.
+        // Waits for the last proposal to be applied, since the next decisions depend on it.
         let (at, index) = lead.last_proposal;
         if index == self.persistent.index && now < at + PROPOSAL_RETRY {
             return;
@@ -122,7 +124,7 @@
         self.process_consensus(now);
     }
 
-    /// Gives what is agreed to all that follow.
+    /// Sends the agreed state to all members.
     pub(super) fn push_state(&mut self) {
         let (index, leader) = (self.persistent.index, self.leader_name());
         let cluster_state = Some(self.encoded_state());
@@ -167,16 +169,16 @@
         let avoided: u64 = statuses().map(|status| u64::from(status.avoided)).sum();
         let held = cluster_state.open_requests.iter().any(|item| matches!(item.kind, TargetKind::Server(_)));
         if avoided > lead.avoided && !held {
-            disturbance = Some(format!("check servers are avoided at {avoided} places"));
+            disturbance = Some(format!("members avoid {avoided} check servers"));
         }
         lead.avoided = avoided;
         let load: u64 = statuses().map(|status| status.load_milli).sum();
         let mean = lead.mean_load.unwrap_or(load as f64);
         let jumps = load > LOAD_JUMP_FLOOR_MILLI && load as f64 > LOAD_JUMP_FACTOR * mean;
         if jumps {
-            disturbance = Some(format!("load rose to {} a second", load / 1000));
+            disturbance = Some(format!("load rose to {} set-ups a second", load / 1000));
         }
-        // A mean of half a minute or so, in steps of a look; from a jump on it begins anew.
+        // Exponential mean over about 30 s, updated at each check; a jump resets it to the present load.
         let step = if jumps { 1.0 } else { LEADER_INTERVAL as f64 / 30_000.0 };
         lead.mean_load = Some(mean + (load as f64 - mean) * step);
         if let Some(what) = disturbance {
@@ -184,7 +186,8 @@
         }
     }
 
-    /// Adds voters up to the number of the founders, and replaces those that are lost or go out.
+    /// Adds voters up to the target derived from the number of founders, and replaces voters that are lost
+    /// or leave for maintenance.
     pub(super) fn maintain_voters(&mut self, now: Millis) {
         let cluster_state = &self.persistent.cluster_state;
         if self.consensus.as_ref().is_none_or(Consensus::is_joint) {
@@ -209,7 +212,7 @@
         };
         let zones = |left: &[&Voter], zone: &str| left.iter().filter(|voter| voter.zone == zone).count();
         let lost = cluster_state.voters.iter().find(|(id, voter)| !present(id, voter) || is_out(&voter.name));
-        // Zones are balanced where one has two more voters than another that has members to spare.
+        // Zones are rebalanced if one has at least two more voters than another that has candidates.
         let all: Vec<&Voter> = cluster_state.voters.values().collect();
         let mut candidates: Vec<&Peer> = self
             .peers
@@ -219,7 +222,7 @@
             })
             .filter(|peer| !is_out(&peer.member.name) && !cluster_state.is_retired(peer.member.node))
             .filter(|peer| peer.status.as_ref().is_some_and(|(_, at)| now < at + max_status_age))
-            // Founders first while the council grows: it is theirs by the file.
+            // While the group grows, founders come first, as configured.
             .filter(|peer| {
                 all.len() >= target
                     || self.config.founders.contains(&peer.member.name)
@@ -244,7 +247,7 @@
             (zones(&all, &most.1.zone) >= zones(&all, &new.zone) + 2).then_some(*most.0)
         };
         let (add, remove) = if all.len() < target {
-            // To an odd number at once: of two voters none may be lost.
+            // Grows to an odd number in one step: a group of two voters tolerates no loss.
             let add = (target - all.len()).min(candidates.len());
             (add - (all.len() + add + 1) % 2, None)
         } else {
@@ -270,7 +273,7 @@
         let successor = successor.map(|(id, _)| *id);
         let Some(consensus) = &mut self.consensus else { return };
         if is_lead {
-            // A leader does not take itself out: another one does it.
+            // A leader does not remove itself: it hands over, and its successor removes it.
             if let Some(successor) = successor {
                 consensus.transfer_leadership(successor);
             }
@@ -280,18 +283,18 @@
         let removed: Vec<u64> = remove.into_iter().collect();
         let context = postcard::to_stdvec(&added).unwrap_or_default();
         if consensus.replace_voters(&ids, &removed, context) {
-            let gone = if removed.is_empty() { "" } else { ", another one does not vote any more" };
+            let gone = if removed.is_empty() { "" } else { ", in place of another one" };
             let names: Vec<String> = added.into_iter().map(|(_, voter)| voter.name).collect();
             self.count += 1;
-            self.log(format!("fleet: voters from now on: {}{gone}", names.join(", ")));
+            self.log(format!("fleet: new voters: {}{gone}", names.join(", ")));
         }
     }
 
-    /// All that the leader puts into the log about work.
+    /// Proposes everything about maintenance: roster updates, events that are due, and the next approval.
     pub(super) fn schedule_maintenance(&mut self, now: Millis) {
         let cluster_view = self.cluster_view(now);
         let time = self.lead.as_ref().map_or(0, |lead| lead.time_ms + now.saturating_sub(lead.since));
-        // Machines that were met, and are not in the roster as they are.
+        // Members that are missing in the roster or differ from their entry.
         let alive = self.members().into_iter().filter(|(_, health)| *health == Health::Alive);
         let roster = &self.persistent.cluster_state.roster;
         let join: Vec<Command> = alive
@@ -323,7 +326,7 @@
             lead.last_clock_entry = now;
             self.propose_own(Command::AdvanceClock);
         }
-        // A council that is not whole yet grants nothing: too few disks would know of it.
+        // An incomplete group approves nothing, since too few disks would record the approval.
         let whole = self.persistent.cluster_state.voters.len() >= self.config.founders.len().min(3);
         if moved || !quiet || !whole || items.iter().all(|item| item.state != State::Requested) {
             return;
@@ -336,7 +339,8 @@
             }
             Err(why) => {
                 let (Some(lead), Some((machine, why))) = (&mut self.lead, why.first()) else { return };
-                // Of the oldest alone, and without figures that change all the time: a reason is told once.
+                // Logs the reason of the oldest request only, and compares it without digits, so that a
+                // reason with changing figures is logged once.
                 let kind: String = why.to_string().chars().filter(|c| !c.is_ascii_digit()).collect();
                 if lead.told != kind {
                     lead.told = kind;
@@ -347,7 +351,7 @@
         }
     }
 
-    /// What has become due about one request.
+    /// The event that is due for one request, if any.
     pub(super) fn due_event(
         &self,
         item: &MaintenanceRequest,
--- a/fleet/src/node/local_maintenance.rs
+++ b/fleet/src/node/local_maintenance.rs
@@ -1,14 +1,15 @@
-//! This machine's own work: it asks before it leaves, says what became of it, and comes back.
+//! This machine's own maintenance: it confirms its approval before it leaves, reports its progress, and
+//! returns.
 
 use super::*;
 
-/// The council's word that this machine may leave held_replicas for so long from when it was asked for.
+/// Validity of the permission to leave, counted from when it was requested.
 pub const LEAVE_RESPONSE_VALIDITY: Millis = 2_000;
 
 impl Node {
     pub(super) fn update_local_maintenance(&mut self, now: Millis) {
         if self.persistent.index == 0 {
-            // Nothing is known of this council yet; what was promised to the one before stays.
+            // No state of this group is known yet; approvals of the previous group remain in force.
             return;
         }
         let name = self.me().name.clone();
@@ -24,7 +25,7 @@
         let approval = item.approval.unwrap_or(0);
         match item.state {
             State::Approved | State::Draining | State::Out | State::Overdue => {
-                // An older number is nobody's word any more.
+                // An older approval number is void.
                 if self.persistent.away_approval.is_some_and(|left| left >= approval) && self.is_away {
                     if self.persistent.away_approval == Some(approval) && item.state == State::Draining {
                         self.report_drained(now, &name, approval);
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Asks the council whether the grant still held_replicas, by way of the log: once that is agreed, the machine
-    /// counts as out until it says otherwise itself.
+    /// Asks through the log whether the approval is still valid. Once this is committed, the machine counts
+    /// as out until it reports its return itself.
     pub(super) fn request_leave(&mut self, now: Millis, name: &str, approval: u64) {
         let waits = self.leave_request.is_some_and(|(id, ..)| self.pending_requests.contains_key(&id));
         if waits {
@@ -54,21 +55,22 @@
             self.pending_requests.remove(&id);
         }
         let command = Command::ReportEvent { machine: name.into(), approval, event: Event::Begin };
-        // Noted first: the answer may come at once where this member leads.
+        // Recorded first, since the response is immediate if this member is the leader.
         let id = CommandId { origin: self.me().boot, count: self.count + 1 };
         self.leave_request = Some((id, now, approval));
         self.submit(now, LeaderRequest::Execute(command));
     }
 
-    /// The council's word on that.
+    /// Handles the response to the request to leave.
     pub(super) fn handle_leave_response(&mut self, response: &LeaderResponse) {
         let Some((_, since, approval)) = self.leave_request.take() else { return };
-        // `ticked` is of this moment or the tick before; a member that slept has dropped the question.
+        // `last_tick` is the time of this tick or the one before; a member that was stalled has dropped the
+        // request.
         if *response != LeaderResponse::Outcome(Ok(())) || self.last_tick > since + LEAVE_RESPONSE_VALIDITY {
             return;
         }
         let name = self.me().name.clone();
-        // Another one may have come since it was asked about this one.
+        // A newer approval may have been issued since the request was sent.
         if self
             .persistent
             .cluster_state
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Says something of itself, once, until it is agreed or refused.
+    /// Reports an event about this machine, once, until it is committed or rejected.
     pub(super) fn report(&mut self, now: Millis, machine: &str, approval: u64, event: Event) {
         let said = |(id, said, by, cluster_state): (CommandId, Event, u64, bool)| {
             (said, by) == (event, approval) && (cluster_state || self.pending_requests.contains_key(&id))
--- a/fleet/src/node/membership.rs
+++ b/fleet/src/node/membership.rs
@@ -1,14 +1,17 @@
-//! Who is there: what the membership engine says, the words of those who dial, and this member's own lives.
+//! Membership: the output of the SWIM engine, the greetings of connecting members, and this member's
+//! incarnations.
 
 use super::*;
 
-/// A member that is taken for dead is called so often: after a long cut both sides have forgotten each other.
+/// Interval at which a dead member is contacted: after a long partition both sides have forgotten each
+/// other.
 const DEAD_MEMBER_PROBE_INTERVAL: Millis = 1_000;
-/// Dead members are shown for so long once they are out of the roster.
+/// How long dead members stay listed once they are out of the roster.
 const DEAD_MEMBER_RETENTION: Millis = 600_000;
-/// Members are looked through this seldom for each of them: in a fleet of hundreds that is most of the work.
+/// The interval of scans of all members grows by this much per member: in a cluster of hundreds the scan is
+/// most of the work.
 const SCAN_INTERVAL_PER_MEMBER: Millis = 1;
-/// Members and their disks that are remembered, at most.
+/// Bound on the members and disks that are remembered.
 const MAX_KNOWN_MEMBERS: usize = 4_096;
 
 impl Node {
@@ -21,12 +24,13 @@
         }
     }
 
-    /// Our life is another one; the disk is told before anybody else is.
+    /// Records a new incarnation of this member, on disk before any message announces it.
     pub(super) fn persist_incarnation(&mut self, _now: Millis) {
         self.persistent.incarnation = self.persistent.incarnation.max(self.me().incarnation);
         let name = self.me().name.clone();
         self.persistent.incarnations.insert(name, self.persistent.incarnation);
-        // Effects that speak of it come after this one: what was sent so far is moved behind.
+        // Messages that carry the new incarnation must follow the write: effects queued so far are moved
+        // behind it.
         let sent = std::mem::take(&mut self.effects);
         self.persist();
         self.effects.extend(sent);
@@ -41,7 +45,7 @@
         let mut seen: BTreeMap<&str, (&Member, Health)> = BTreeMap::new();
         let me = &swim.me().name;
         for (member, health) in swim.members().filter(|(member, _)| member.name != *me) {
-            // Of two lives of one name the later one counts.
+            // Of two incarnations of one name the later one counts.
             let later = |known: &(&Member, Health)| {
                 (known.0.incarnation, known.0.boot) < (member.incarnation, member.boot)
             };
@@ -89,7 +93,7 @@
                 || roster.contains_key(name)
                 || now < peer.since + DEAD_MEMBER_RETENTION
         });
-        // The engine forgets its dead after a while; here they stay dead.
+        // The engine forgets dead members after a while; here they remain dead.
         for (name, peer) in peers {
             if !seen.contains_key(name.as_str()) && matches!(peer.health, Health::Alive | Health::Suspect) {
                 (peer.health, peer.since) = (Health::Dead, now);
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Calls members that are taken for dead, one after the other: they may take us for dead too.
+    /// Contacts the dead members in turn: they may consider this one dead, too.
     pub(super) fn probe_dead_member(&mut self, now: Millis) {
         if now < self.last_dead_probe + DEAD_MEMBER_PROBE_INTERVAL {
             return;
@@ -111,10 +115,10 @@
         }
     }
 
-    /// What we know of another's disk and name; and that we know it from now on.
+    /// Returns what is known of the sender's disk and name, and records both.
     pub(super) fn build_welcome(&mut self, from: &Member, is_reply: bool) -> Payload {
         let seen = self.persistent.seen_disks.get(&from.node).copied();
-        // Words of one start may overtake each other.
+        // Messages of one process start may be reordered.
         let disk_is_current =
             seen.is_none_or(|(incarnation, boot)| from.incarnation > incarnation || from.boot == boot);
         let incarnation = self.persistent.incarnations.get(&from.name).copied().unwrap_or(0);
@@ -141,7 +145,7 @@
         }
         self.confirming_voters.insert(from.node);
         if incarnation > self.me().incarnation {
-            // Our name has lived on longer elsewhere: the machine came back without its disk.
+            // A higher incarnation of this name was seen: the machine came back without its disk.
             let me = Member { incarnation: incarnation + 1, ..self.me().clone() };
             let output = self.swim.change_identity(now, me);
             self.persist_incarnation(now);
@@ -152,15 +156,15 @@
         }
     }
 
-    /// Our log is no use any more: the disk is an older copy of one that was seen since, and what it held_replicas of
-    /// votes and entries may have been said otherwise; or the council has gone on without us. It is another
-    /// disk from now on, and never votes as the old one. What was agreed last is kept until a newer state
-    /// comes: staff and the check servers under work are not to take it for nothing.
+    /// Takes a new disk identity, because the log is unusable: the disk is an older copy of one seen since,
+    /// so that its votes and entries may contradict what was sent later, or the group has replaced this
+    /// member. The old identity never votes again. The last agreed state is kept until a newer one arrives,
+    /// so that operators and check servers under maintenance don't see it as empty.
     pub(super) fn reset_identity(&mut self, now: Millis, incarnation: u64, why: &str) {
         let me = self.me().clone();
         let node = me.node.rotate_left(17) ^ me.boot;
         let incarnation = incarnation.max(me.incarnation) + 1;
-        self.log(format!("fleet: {why}, this machine begins anew as {node:x}"));
+        self.log(format!("fleet: {why}, this machine takes the new disk identity {node:x}"));
         let me = Member { node, incarnation, ..me };
         let output = self.swim.change_identity(now, me);
         self.persistent = PersistentState {
@@ -180,12 +184,12 @@
         self.apply_swim_output(now, output);
     }
 
-    /// Another log begins, or none is kept until one comes.
+    /// Replaces the Raft log, or deletes it until a new one is received.
     pub(super) fn replace_log(&mut self, log: Option<Write>) {
         (self.consensus, self.lead, self.may_participate) = (None, None, true);
         self.pending_report = None;
         self.last_persisted = self.persistent.clone();
-        // Ahead of all that was to be sent of the one before.
+        // Comes before all effects queued for the previous log.
         let page = Box::new(self.persistent.clone());
         self.effects.retain(|effect| !matches!(effect, Effect::WriteLog(_) | Effect::Persist(_)));
         self.effects.insert(0, Effect::ReplaceLog { page, log });
--- a/fleet/src/node/mod.rs
+++ b/fleet/src/node/mod.rs
@@ -1,8 +1,9 @@
-//! One member of the fleet, whole: membership, its part in the council or its following of it, the leader's
-//! work, and its own leaving and coming back.
+//! One cluster member: membership, participation in the consensus group (as voter or as follower of its
+//! state), the leader's duties, and the member's own maintenance.
 //!
-//! A front hands in what came ([`Node::received`]), its own status and the time ([`Node::tick`]), and carries
-//! out [`Effect`]s in their order: what is to be written is on disk before what follows it is sent.
+//! The caller passes in received messages ([`Node::receive`]), the local status and the time
+//! ([`Node::tick`]), and carries out the [`Effect`]s in their order: whatever is to be persisted is on disk
+//! before any later message is sent.
 
 mod commands;
 mod group;
@@ -28,49 +29,51 @@
 use leader::LeaderState;
 use streams::StreamState;
 
-/// The council's engine is ticked so often.
+/// Tick interval of the Raft engine.
 const CONSENSUS_TICK: Millis = 100;
-/// Commands of this member that are under way, at most, and those of others that wait for the log.
+/// Bound on the requests of this member that have no response yet.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// A leader is not heard of for so long before a new council may be founded by hand.
+/// Time without a known leader after which an operator may found a new consensus group by hand.
 const LEADER_TIMEOUT: Millis = 5_000;
-/// A refusal is response in the log once, and again after this; so many are remembered.
+/// A rejection is logged once and again after this interval; at most `MAX_LOGGED_REJECTIONS` lines are
+/// remembered.
 const REJECTION_LOG_INTERVAL: Millis = 60_000;
 const MAX_LOGGED_REJECTIONS: usize = 64;
-/// Grants of a council that is lost may have gone this far beyond the copy that a new one starts from.
+/// Gap left in the approval numbers when a group is refounded: the lost group may have issued up to this
+/// many approvals beyond the copy of the state that the new group starts from.
 const REFOUND_APPROVAL_GAP: u64 = 1 << 20;
 
-/// How a fleet is set up: the same for all members, but for their own names.
+/// Configuration of a member. Identical on all members except for their own names.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     pub cluster: String,
-    /// The first council, by names; the first of them founds it.
+    /// Names of the initial voters; the first of them creates the consensus group.
     pub founders: Vec<String>,
     pub limits: Limits,
-    /// The minor version that this member speaks, up to [`MINOR`](crate::words::MINOR).
+    /// The minor protocol version that this member speaks, at most [`MINOR`](crate::messages::MINOR).
     pub minor: u16,
 }
 
-/// What a member keeps on disk beside the council's log.
+/// What a member persists besides the Raft log. Encoded by postcard, by position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistentState {
-    /// Of this disk, drawn when it was first used.
+    /// Identity of this disk, drawn at random when it was first used.
     pub node: u64,
     pub incarnation: u64,
     pub group_id: GroupId,
-    /// The highest life, and the start, that was seen of each disk.
+    /// For each disk identity the highest incarnation seen, with the boot identifier of that process start.
     seen_disks: BTreeMap<u64, (u64, u64)>,
-    /// The highest life of each name.
+    /// The highest incarnation seen of each member name.
     incarnations: BTreeMap<String, u64>,
-    /// The grant by which this machine is out.
+    /// The approval under which this machine is out for maintenance.
     away_approval: Option<u64>,
-    /// What was agreed when this was written, and its place in the log.
+    /// The log index of `cluster_state`, the agreed state at the time of writing.
     index: u64,
     cluster_state: ClusterState,
 }
 
 impl PersistentState {
-    /// Of a directory that held_replicas nothing yet.
+    /// The state of an empty directory.
     pub fn first(node: u64) -> Self {
         PersistentState { node, ..PersistentState::default() }
     }
@@ -79,21 +82,21 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// `None` where the bytes are no page.
+    /// Returns `None` if the bytes can't be decoded.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// What a front does, in this order.
+/// What the caller must do. Effects are carried out in order.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Of the council's log.
+    /// Write to the Raft log.
     WriteLog(Write),
-    /// The whole of what else is kept.
+    /// Persist the state besides the log, as a whole.
     Persist(Box<PersistentState>),
-    /// The log is another one from now on: what there was of it goes, this comes in its place (if anything),
-    /// and the page with it, all at once.
+    /// Replace the log: atomically delete the present one, write `log` (if there is one) in its place, and
+    /// persist `page`.
     ReplaceLog {
         page: Box<PersistentState>,
         log: Option<Write>,
@@ -102,24 +105,26 @@
         to: SocketAddr,
         payload: Payload,
     },
-    /// The machine leaves: it sends its clients away.
+    /// Begin to drain: the machine leaves for maintenance and sends its clients elsewhere.
     StartDrain {
         approval: u64,
     },
-    /// It was out by this grant when its process ended: it takes up no work until it hears that it may.
+    /// The machine was out under this approval when its process ended: it does not serve until
+    /// [`Effect::Resume`].
     RemainOut {
         approval: u64,
     },
-    /// A word recipient copies came.
+    /// A replication message was received.
     Replication {
         from: Box<Member>,
         bytes: Vec<u8>,
     },
-    /// It serves again.
+    /// Serve again.
     Resume,
-    /// No new set-ups go to these check servers, each with its grant. All others are free.
+    /// Send no new set-ups to these check servers, each given with its approval number. All others are
+    /// released.
     HoldServers(BTreeMap<u32, u64>),
-    /// A command or question of staff has come to its end.
+    /// The response to a request submitted by [`Node::submit`].
     Response {
         id: CommandId,
         response: LeaderResponse,
@@ -131,12 +136,12 @@
 struct Peer {
     member: Member,
     health: Health,
-    /// Since when its health is so.
+    /// When `health` last changed.
     since: Millis,
-    /// The life in which it said that it leaves.
+    /// The incarnation that announced a graceful leave.
     left_incarnation: Option<u64>,
     status: Option<(Status, Millis)>,
-    /// The minor version that it speaks, once it was heard.
+    /// The minor protocol version it speaks, known once a message was received from it.
     minor: Option<u16>,
 }
 
@@ -147,21 +152,21 @@
     sent: Option<Millis>,
 }
 
-/// Where the answer to a command goes once it is in the log.
+/// Where the response to a command goes once the command is committed.
 #[derive(Clone, Debug, PartialEq)]
 enum Requester {
     Local,
     Remote(SocketAddr),
 }
 
-/// Figures of one moment.
+/// Snapshot of the node's metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
     pub alive: u64,
     pub suspect: u64,
     pub dead: u64,
     pub voters: u64,
-    /// A change of voters is under way: those before and those after it must both agree.
+    /// A joint configuration change of the voters is in progress: old and new voters must both agree.
     pub joint: bool,
     pub is_leader: bool,
     pub is_voter: bool,
@@ -173,11 +178,11 @@
     pub machines_out: u64,
     pub last_approval: u64,
     pub stalled_ms: u64,
-    /// Commands that were refused because of an older grant or state.
+    /// Commands rejected because of a superseded approval number or state version.
     pub fenced: u64,
-    /// Words of other clusters, other councils or unknown speakers.
+    /// Messages from another cluster or another consensus group, or from senders that were rejected.
     pub unexpected_messages: u64,
-    /// Frames that found no way out, and octets sent; the front counts these.
+    /// Frames dropped before sending, and octets sent; filled in by the caller.
     pub unsent: u64,
     pub octets: u64,
 }
@@ -188,24 +193,25 @@
     persistent: PersistentState,
     last_persisted: PersistentState,
     consensus: Option<Consensus>,
-    /// Voters that found our disk to be the one that they had seen; until there are enough of them, a voter
-    /// that had a log at its start keeps still.
+    /// Voters that confirmed our disk to be the one they saw last. Until they are a majority together with
+    /// this member, a voter that started with an existing log takes no part in consensus.
     confirming_voters: BTreeSet<u64>,
-    /// Enough of them did, once; or the log was begun in this start, so no older copy of it can be.
+    /// Set once a majority confirmed the disk, or if the log was created by this process, so that there can
+    /// be no older copy of it.
     may_participate: bool,
     peers: BTreeMap<String, Peer>,
     leader: Option<String>,
     leader_seen_at: Millis,
     started: Millis,
-    /// Founders that know of no council.
+    /// Founders that reported that they know of no consensus group.
     founders_without_group: BTreeSet<String>,
     own: Status,
-    /// The question that asks whether the machine may leave by a grant, and since when.
+    /// The request for permission to leave: its identifier, when it was submitted, and its approval number.
     leave_request: Option<(CommandId, Millis, u64)>,
-    /// What this machine says of itself (that it has drained, that it is back), by which grant, and whether
-    /// that is known to be agreed.
+    /// What this machine reports about itself (drained, returned): request, event, approval number, and
+    /// whether the report is known to be committed.
     pending_report: Option<(CommandId, Event, u64, bool)>,
-    /// The machine was response to leave, or to serve.
+    /// The caller was told to drain and not yet to resume.
     is_away: bool,
     held: BTreeMap<u32, u64>,
     pending_requests: BTreeMap<CommandId, PendingRequest>,
@@ -220,17 +226,18 @@
     next_peer: usize,
     fenced: u64,
     unexpected_messages: u64,
-    /// Refusals that the log response of, and when.
+    /// Rejections that were logged, and when.
     logged_rejections: BTreeMap<String, Millis>,
     group_conflict_logged: bool,
     effects: Vec<Effect>,
 }
 
 impl Node {
-    /// Begins a new life. `me.node` and `me.life` are taken from the page.
+    /// Starts a new incarnation. `me.node` and `me.incarnation` are taken from the persistent state.
     ///
     /// # Errors
-    /// What was kept of the log can't be read.
+    ///
+    /// The persisted log can't be decoded.
     pub fn new(
         now: Millis,
         config: NodeConfig,
@@ -285,16 +292,16 @@
                 node.persistent.index = node.consensus.as_ref().map_or(0, Consensus::applied);
             }
         }
-        // Kept before it is spoken of: the next start must differ from this one.
+        // Persisted before it is announced: the next process start must use a different incarnation.
         node.persist();
         if node.consensus.as_ref().is_some_and(|consensus| !consensus.is_voter()) {
-            node.reset_identity(now, 0, "its log is of a council without it");
+            node.reset_identity(now, 0, "its log is of a consensus group without this member");
         }
         if let Some(approval) = node.persistent.away_approval {
             node.is_away = true;
             node.effects.push(Effect::RemainOut { approval });
             node.log(format!(
-                "fleet: this machine was out for work, grant {approval}, and stays so until it hears more"
+                "fleet: this machine was out for work, grant {approval}, and stays out until the cluster confirms its return"
             ));
         }
         node.update_held_servers();
@@ -309,7 +316,7 @@
         &self.persistent.cluster_state
     }
 
-    /// Whether anything was ever heard of what the council agreed.
+    /// Whether any agreed state was ever received or applied.
     pub fn has_cluster_state(&self) -> bool {
         self.persistent.index > 0 || self.persistent.cluster_state.version > 0
     }
@@ -318,13 +325,13 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// What this member says of itself with every word.
+    /// Wraps a payload with what this member states about itself in every message.
     pub fn envelope(&self, payload: Payload) -> Envelope {
         let (cluster, from) = (self.config.cluster.clone(), self.me().clone());
         Envelope { cluster, from, group_id: self.persistent.group_id, payload, minor: self.config.minor }
     }
 
-    /// All members that are known, this one among them, by name.
+    /// All known members including this one, sorted by name.
     pub fn members(&self) -> Vec<(Member, Health)> {
         let mut members: Vec<(Member, Health)> =
             self.peers.values().map(|peer| (peer.member.clone(), peer.health)).collect();
@@ -333,7 +340,7 @@
         members
     }
 
-    /// The minor version that a member speaks, where that is known.
+    /// The minor protocol version of a member, if known.
     pub fn minor_of(&self, name: &str) -> Option<u16> {
         if name == self.me().name {
             return Some(self.config.minor);
@@ -341,7 +348,7 @@
         self.peers.get(name).and_then(|peer| peer.minor)
     }
 
-    /// Where the members are that are not known to be gone.
+    /// Addresses of the members that are neither dead nor gone.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let there = |peer: &&Peer| matches!(peer.health, Health::Alive | Health::Suspect);
         self.peers.values().filter(there).map(|peer| peer.member.address).collect()
@@ -376,25 +383,27 @@
         self.consensus.as_ref().is_some_and(Consensus::has_confirmed_leadership)
     }
 
-    // ---- What comes in.
+    // ---- Inputs.
 
-    /// How this call agent is.
+    /// Sets the local status that is reported to the leader.
     pub fn set_status(&mut self, status: Status) {
         self.own = status;
     }
 
-    /// Time has passed. Comes at least every [`TICK`], and ahead of messages where the process may have
-    /// slept.
+    /// Handles a gap in the calls to the node, during which the process did not run. To be called at least
+    /// every [`CONSENSUS_TICK`], and before messages are passed in that may have arrived during the gap.
     pub fn detect_stall(&mut self, now: Millis) {
         if let Some(stalled_for) = self.swim.detect_stall(now) {
-            // What was asked before may have been answered long ago.
+            // The response may have been received long ago and may be outdated.
             self.leave_request = None;
             self.streams.stall_detected(now);
             self.leader_seen_at += stalled_for;
             for peer in self.peers.values_mut() {
                 peer.since += stalled_for;
             }
-            self.log(format!("fleet: slept for {stalled_for} ms, others are doubted later"));
+            self.log(format!(
+                "fleet: the process was stalled for {stalled_for} ms, failure detection is postponed"
+            ));
         }
     }
 
@@ -415,32 +424,33 @@
         self.persist();
     }
 
-    /// A frame of another member. `false`: the link is to be closed, a refusal is among the effects.
+    /// Handles a message of another member. Returns `false` if the connection is to be closed; the
+    /// rejection is then among the effects.
     pub fn receive(&mut self, now: Millis, envelope: Envelope) -> bool {
         self.detect_stall(now);
         let Envelope { cluster, from, group_id, payload, minor } = envelope;
         let (to, me) = (from.address, self.me().clone());
         let refuse = |node: &mut Node, why: String| {
-            node.log_rejection(now, format!("fleet: {} at {to} is refused: {why}", from.name));
+            node.log_rejection(now, format!("fleet: {} at {to} is rejected: {why}", from.name));
             node.send(to, Payload::Rejected(why));
             false
         };
         if let Payload::Rejected(why) = payload {
-            self.log_rejection(now, format!("fleet: {} at {to} refuses us: {why}", from.name));
+            self.log_rejection(now, format!("fleet: {} at {to} rejects this member: {why}", from.name));
             return false;
         }
         if cluster != self.config.cluster {
             return refuse(self, format!("this is cluster {}, not {cluster}", self.config.cluster));
         }
         if from.name == me.name {
-            return refuse(self, format!("the name {} is taken", me.name));
+            return refuse(self, format!("the member name {} is already in use", me.name));
         }
         let required_minor = self.persistent.cluster_state.required_minor;
         if minor < required_minor {
             return refuse(
                 self,
                 format!(
-                    "version {MAJOR}.{minor} is spoken there, and the log holds {MAJOR}.{required_minor}"
+                    "version {MAJOR}.{minor} is too old, the log has entries of {MAJOR}.{required_minor}"
                 ),
             );
         }
@@ -476,7 +486,7 @@
                     self.persist();
                     self.send(to, welcome);
                 }
-                // Of a disk that is ours no more, and of a start before this one, nothing counts.
+                // A welcome for a replaced disk identity or an earlier process start is ignored.
                 if recipient == (self.persistent.node, me.boot) {
                     self.handle_welcome(now, &from, incarnation, disk_is_current);
                 }
@@ -522,12 +532,13 @@
         true
     }
 
-    /// Staff, by way of this member, want something. [`Effect::Told`] comes once, in a bounded time.
+    /// Submits an operator's request by way of this member. Exactly one [`Effect::Response`] follows,
+    /// within a bounded time.
     pub fn submit(&mut self, now: Millis, request: LeaderRequest) -> CommandId {
         self.count += 1;
         let id = CommandId { origin: self.me().boot, count: self.count };
         if self.pending_requests.len() >= MAX_PENDING_REQUESTS {
-            let response = LeaderResponse::Outcome(Err(Rejection::LimitReached("commands under way".into())));
+            let response = LeaderResponse::Outcome(Err(Rejection::LimitReached("pending requests".into())));
             self.effects.push(Effect::Response { id, response });
             return id;
         }
@@ -536,7 +547,7 @@
         id
     }
 
-    /// Ends in order: others hear of it, and the lead is given away.
+    /// Shuts down gracefully: announces the leave and transfers leadership.
     pub fn leave_cluster(&mut self, now: Millis) {
         let voters = &self.persistent.cluster_state.voters;
         let others = voters.iter().filter(|(id, _)| **id != self.persistent.node);
@@ -556,30 +567,32 @@
         self.persist();
     }
 
-    /// Staff found a new council, since the majority of the old one is lost for good. What it had agreed and
-    /// this member has not heard of is lost; should the old one live after all, there are two.
+    /// Founds a new consensus group on an operator's order, when the majority of the old one is lost for
+    /// good. Anything that the old group agreed and this member did not receive is lost; if the old group
+    /// survives after all, there are two.
     ///
     /// # Errors
-    /// There is a leader, or there never was a council.
+    ///
+    /// There is a leader, or no group was ever known.
     pub fn refound(&mut self, now: Millis) -> Result<(), Rejection> {
         if !self.persistent.group_id.is_some() {
-            return Err(Rejection::NotAllowed("no council was ever known here".into()));
+            return Err(Rejection::NotAllowed("no consensus group was ever known to this member".into()));
         }
         if self.leader_name().is_some() && now < self.leader_seen_at + LEADER_TIMEOUT {
-            return Err(Rejection::NotAllowed("the council has a leader, and is not lost".into()));
+            return Err(Rejection::NotAllowed("the consensus group has a leader, and is not lost".into()));
         }
         let number = self.persistent.group_id.number + 1;
         self.persistent.cluster_state.last_approval += REFOUND_APPROVAL_GAP;
         self.persistent.cluster_state.version += 1;
         self.create_group(now, number);
-        self.log(format!("fleet: council {number} is founded by hand"));
+        self.log(format!("fleet: consensus group {number} is founded by hand"));
         Ok(())
     }
 
-    // ---- What goes out.
+    // ---- Outputs.
 
-    /// Has the page kept where anything differs that a start would miss. The place in the log alone does not
-    /// count, nor does fleet time: a voter's log has them, and the others are response.
+    /// Persists the state if anything changed that a restart needs. The log index and the cluster time
+    /// alone don't count: a voter restores them from its log, other members receive them.
     fn persist(&mut self) {
         let (page, persisted) = (&self.persistent, &self.last_persisted);
         let same = (page.node, page.incarnation, page.group_id, page.away_approval)
@@ -597,7 +610,7 @@
         self.effects.push(Effect::Send { to, payload });
     }
 
-    /// Whoever is refused greets again every second.
+    /// Logs a rejection at a limited rate, since a rejected member sends a greeting every second.
     fn log_rejection(&mut self, now: Millis, line: String) {
         self.unexpected_messages += 1;
         self.logged_rejections.retain(|_, at| now < *at + REJECTION_LOG_INTERVAL);
--- a/fleet/src/node/streams.rs
+++ b/fleet/src/node/streams.rs
@@ -1,36 +1,37 @@
-//! Who owned_streams which copies: leases of their writers, and the succession of those that are lost.
+//! Ownership of replication streams: leases of their primaries, and failover of lost primaries.
 //!
-//! A writer says nothing to anybody beyond its lease, which runs from when it *asked* for it. The leader
-//! renews it only while all that the writer owned_streams is its own by the log, and lets nobody succeed before the
-//! last lease that it or any leader before it can have renewed is over. All of it by monotonic clocks that
-//! run apart by [`DRIFT`] at most.
+//! A primary sends nothing based on its calls beyond its lease, which runs from the time of the *request*
+//! for it. The leader renews a lease only while the log assigns all streams of the primary to it, and lets
+//! no other member take over before the last lease has expired that this or any earlier leader may have
+//! renewed. All times are of monotonic clocks that drift apart by at most [`CLOCK_DRIFT_PERCENT`].
 
 use super::*;
 
-/// A member asks for its lease so often, and has it for so long from then on.
+/// Interval of lease renewals, and the duration of a lease from the time of the request.
 const LEASE_RENEWAL_INTERVAL: Millis = 250;
 pub const LEASE: Millis = 1_500;
-/// A leader that is none any more finds out within this: its engine looks every second whether a majority
-/// has spoken since the last look, and a sleep that is too short to be noticed comes on top.
+/// Time within which a deposed leader notices its loss: the engine checks every second whether a majority
+/// responded since the last check, and a stall too short to be detected adds to that.
 const STALE_LEADER_BOUND: Millis = 2_500;
-/// Clocks run apart by this at most, in hundredths.
+/// Maximum drift between clocks, in percent.
 pub const CLOCK_DRIFT_PERCENT: Millis = 5;
-/// Nobody is succeeded who was renewed within this, nor by a leader that has led for less.
+/// No failover of a primary that was renewed within this time, nor by a leader that has led for less.
 pub const FAILOVER_GRACE: Millis = (LEASE + STALE_LEADER_BOUND) * (100 + CLOCK_DRIFT_PERCENT) / 100;
-/// What a member told that it held_replicas counts for so long.
+/// How long a member's report of its replicas counts.
 const REPLICA_REPORT_VALIDITY: Millis = 4 * LEASE_RENEWAL_INTERVAL;
 
-/// This member's part: what it owned_streams and held_replicas, where it takes part in copies at all.
+/// This member's streams and replicas, if it takes part in replication.
 #[derive(Debug, Default)]
 pub(super) struct StreamState {
     reported: Option<(Vec<StreamEpoch>, Vec<HeldReplica>)>,
     lease: Option<Millis>,
     last_request: Option<Millis>,
-    /// When it last woke from a sleep: until [`OLD_LEADER`] later it may be an old leader without knowing.
+    /// When the last stall was detected: for [`STALE_LEADER_BOUND`] after it this member may be a deposed
+    /// leader without knowing.
     last_stall: Option<Millis>,
-    /// Streams whose succession this member put into the log as the leader of a term, with their epochs:
-    /// while it may still be agreed their writers are not renewed, also where the lead was given up
-    /// meanwhile.
+    /// Failovers that this member proposed as the leader, by stream, with their epoch and term. While one
+    /// may still be committed, the primary's lease is not renewed, even if leadership was lost in the
+    /// meantime.
     pending_failovers: BTreeMap<u64, (u64, u64)>,
 }
 
@@ -40,33 +41,33 @@
     }
 }
 
-/// What the leader knows of others' leases.
+/// What the leader knows of the members' leases.
 #[derive(Debug, Default)]
 pub(super) struct LeaseTable {
-    /// By the start of the program: when it was last renewed.
+    /// By boot identifier: when the lease was last renewed.
     renewed: BTreeMap<u64, Millis>,
     held_replicas: BTreeMap<String, (Vec<HeldReplica>, Millis)>,
 }
 
 impl Node {
-    /// Takes part in copies: what is written and held here now.
+    /// Sets the streams that this member owns and the replicas it holds. Enables its part in replication.
     pub fn set_streams(&mut self, owned_streams: Vec<StreamEpoch>, held_replicas: Vec<HeldReplica>) {
         self.streams.reported = Some((owned_streams, held_replicas));
     }
 
-    /// Until when what is written here may be acted on; `None` before anything was heard.
+    /// When the lease on the streams owned here expires; `None` before the first renewal.
     pub fn lease(&self) -> Option<Millis> {
         self.streams.lease
     }
 
-    /// Says something about copies to a member, by its name.
+    /// Sends a replication message to a member given by name.
     pub fn send_replication(&mut self, to: &str, bytes: Vec<u8>) {
         if let Some(to) = self.peers.get(to).map(|peer| peer.member.address) {
             self.send(to, Payload::Replication(bytes));
         }
     }
 
-    /// Members that are alive, with their starts, zones, and whether they serve.
+    /// The other members that are alive, and whether each of them serves.
     pub fn replica_candidates(&self) -> impl Iterator<Item = (&Member, bool)> {
         let alive = self.peers.values().filter(|peer| peer.health == Health::Alive);
         alive.map(|peer| {
@@ -79,12 +80,12 @@
         })
     }
 
-    /// All that this successor took over by an epoch has been kept.
+    /// Reports that everything taken over from a stream by this epoch has been delivered.
     pub fn close_stream(&mut self, now: Millis, stream: u64, epoch: u64) {
         self.submit(now, LeaderRequest::Execute(Command::CloseStream { stream, epoch }));
     }
 
-    /// Whether this member surely leads, as far as time tells.
+    /// Whether this member is certain to be the leader, as far as elapsed time tells.
     fn may_renew_leases(&self, now: Millis) -> bool {
         self.is_leader() && self.streams.last_stall.is_none_or(|at| now >= at + STALE_LEADER_BOUND)
     }
@@ -105,7 +106,7 @@
         }
     }
 
-    /// A member wants its lease renewed.
+    /// Handles a member's request to renew its lease.
     pub(super) fn handle_lease_renewal(
         &mut self,
         now: Millis,
@@ -128,7 +129,7 @@
         lead.leases.held_replicas.insert(from.name.clone(), (held_replicas, now));
         let fails_over = |written: &StreamEpoch| self.streams.pending_failovers.contains_key(&written.stream);
         if !owns_all || owned_streams.iter().any(fails_over) {
-            // It hears of its succession by what is agreed.
+            // The sender learns of the failover from the agreed state.
             let (index, leader) = (self.persistent.index, self.leader_name());
             let cluster_state = Some(self.encoded_state());
             return self.send(from.address, Payload::StateUpdate { index, leader, cluster_state });
@@ -145,7 +146,8 @@
         if boot != self.me().boot {
             return;
         }
-        // Only a voter can lead; whoever was put out of the council since says nothing more.
+        // Only a voter can be the leader; a message of a member that has been removed from the group is
+        // void.
         if self.persistent.cluster_state.voters.contains_key(&from.node)
             && self.streams.last_request.is_some_and(|at| requested_at <= at)
         {
@@ -153,8 +155,8 @@
         }
     }
 
-    /// Forgets successions that are agreed, and those of terms before: a leader that leads for sure has
-    /// applied whatever came of them.
+    /// Drops failovers that are committed, and those of earlier terms: a leader with confirmed leadership
+    /// has applied whatever became of them.
     fn prune_pending_failovers(&mut self) {
         let term = self.consensus.as_ref().map_or(0, Consensus::term);
         let cluster_state = &self.persistent.cluster_state;
@@ -163,7 +165,7 @@
         });
     }
 
-    /// Has the streams of writers that are lost written on by others.
+    /// Assigns the streams of lost primaries to successors.
     pub(super) fn fail_over_streams(&mut self, now: Millis) {
         self.prune_pending_failovers();
         let Some(lead) = &mut self.lead else { return };
@@ -173,7 +175,7 @@
         if now < lead.since + FAILOVER_GRACE || lead.leases.held_replicas.is_empty() {
             return;
         }
-        // Of each stream: who owned_streams it by the log, and who held_replicas the most of it.
+        // For each stream: its primary according to the log, or else according to the replicas.
         let mut owners: BTreeMap<u64, (String, u64, u64)> = BTreeMap::new();
         for (held_replicas, _) in lead.leases.held_replicas.values() {
             for held in held_replicas {
@@ -203,7 +205,7 @@
                 }
                 None => me.name == writer && same(me.boot),
             };
-            // One that said in order that it goes has said its last word.
+            // A primary that announced its leave sends nothing more.
             let has_left = peer.is_some_and(|peer| {
                 same(peer.member.boot) && peer.left_incarnation == Some(peer.member.incarnation)
             });
@@ -217,7 +219,7 @@
                 Some(peer) => peer.member.boot,
                 None => me.boot,
             };
-            // Whoever has the most; one that serves before one that does not.
+            // Prefers members that hold a replica, then serving ones, then the most complete replica.
             let serves = |name: &str| match self.peers.get(name) {
                 Some(peer) => peer.status.as_ref().is_some_and(|(status, _)| status.serving),
                 None => self.own.serving,
--- a/fleet/src/scheduler.rs
+++ b/fleet/src/scheduler.rs
@@ -1,7 +1,8 @@
-//! In which order work is granted: what the leader weighs before it asks the council.
+//! Which maintenance request is approved next: what the leader checks before it proposes an approval.
 //!
-//! The log holds to what must never happen whoever leads ([`Agreed::bounds`]). What is told here (who is
-//! alive, what is offered) may be late or wrong, and so it only ever keeps a grant back.
+//! The log itself enforces the limits that must hold under any leader ([`ClusterState::check_limits`]). The
+//! reported knowledge used here (who is alive, how much load is offered) may be outdated or wrong, and so
+//! it only ever delays an approval.
 
 use std::collections::BTreeSet;
 
@@ -11,46 +12,46 @@
 use crate::swim::Health;
 use crate::Millis;
 
-/// What staff have set.
+/// Limits set by operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Machines out at once, at most; lost ones count.
+    /// Maximum number of machines out at once; lost ones count.
     pub max_out: u32,
-    /// What must be left over of the capacity, as a share of the load that is measured.
+    /// Capacity that must remain in addition to the measured load, as a fraction of that load.
     pub reserve: f64,
-    /// Without trouble for so long before a grant.
+    /// Required time without a disturbance before an approval.
     pub calm_ms: Millis,
 }
 
-/// One member as the leader sees it.
+/// A member as the leader sees it.
 #[derive(Clone, Debug)]
 pub struct ObservedMember {
     pub name: String,
     pub zone: String,
     pub health: Health,
-    /// Its last word, and how old that is.
+    /// Its last status, and the age of that.
     pub status: Option<(Status, Millis)>,
 }
 
 impl ObservedMember {
-    /// Whether it takes work, by a word that is fresh.
+    /// Whether the member serves, according to a status no older than `max_status_age`.
     pub fn is_serving(&self, max_status_age: Millis) -> bool {
         self.health == Health::Alive
             && self.status.as_ref().is_some_and(|(status, age)| status.serving && *age <= max_status_age)
     }
 }
 
-/// All that the leader goes by, beside what is agreed.
+/// The reported knowledge of the leader.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterView {
     pub members: Vec<ObservedMember>,
-    /// A word is fresh up to this age.
+    /// Maximum age at which a status is considered current.
     pub max_status_age_ms: Millis,
-    /// The last trouble, and how long it has been over.
+    /// The last disturbance, and the time since then.
     pub disturbance: Option<(String, Millis)>,
 }
 
-/// Why a machine has not been granted its work.
+/// Why a request has not been approved yet. The texts are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WaitReason {
     #[error("{0}")]
@@ -59,9 +60,9 @@
     MemberNotServing(String),
     #[error("{0} of zone {1} is not serving")]
     OtherZoneNotServing(String, String),
-    #[error("{event} {ago_ms} ms ago, and calm is {calm_ms} ms")]
+    #[error("{event} {ago_ms} ms ago, {calm_ms} ms without a disturbance are required")]
     Disturbance { event: String, ago_ms: Millis, calm_ms: Millis },
-    #[error("{left} set-ups a second would be left, and {load} with a reserve are needed")]
+    #[error("{left} set-ups a second would remain, {load} and the reserve are needed")]
     InsufficientCapacity { left: u64, load: u64 },
     #[error("no other call agent would serve")]
     LastAgent,
@@ -73,10 +74,11 @@
     TargetNotServing,
 }
 
-/// Whether work on a machine may be granted now, by all but its place in the order.
+/// Checks whether a request may be approved now, regardless of its rank.
 ///
 /// # Errors
-/// Why not yet.
+///
+/// The reason to wait.
 pub fn check_eligible(
     cluster_state: &ClusterState,
     view: &ClusterView,
@@ -92,7 +94,7 @@
     let is_serving = |name: &str| {
         view.members.iter().any(|member| member.name == name && member.is_serving(view.max_status_age_ms))
     };
-    // Crashed, suspected and silent machines count as out, beside those that are out by agreement.
+    // Crashed, suspected and silent machines count as out, in addition to those that are out by agreement.
     let lost: Vec<(&String, &String)> = cluster_state
         .roster
         .iter()
@@ -132,7 +134,7 @@
         })
         .collect();
     if !serving.iter().any(|member| member.name == item.machine) {
-        // Staff may work on one that is down; but it has to leave in order, and can't.
+        // A machine that is down can't drain, so its maintenance is not approved.
         return Err(WaitReason::TargetNotServing);
     }
     let is_out = |name: &str| cluster_state.machines_out().any(|out| out.machine == name);
@@ -145,7 +147,7 @@
         serving.iter().filter_map(|member| member.status.as_ref()).map(|(s, _)| s.load_milli).sum();
     let capacities =
         || left.iter().filter_map(|member| member.status.as_ref()).map(|(s, _)| s.capacity_milli);
-    // Where one does not know what it can take, nothing can be said of the sum.
+    // If any member's capacity is unknown, the total is unknown and not checked.
     if capacities().all(|capacity| capacity > 0) {
         let left: u64 = capacities().sum();
         let needed = load as f64 * (1.0 + limits.reserve);
@@ -180,11 +182,15 @@
     Ok(())
 }
 
-/// After so many grants to others that it could have had, a request goes before all that were passed less
-/// often.
+/// A request that was passed over by this many approvals while eligible takes precedence over all requests
+/// that were passed over less often.
 const STARVATION_THRESHOLD: u32 = 8;
 
-/// The request that is granted next, or for each why not yet.
+/// Returns the machine whose request is approved next.
+///
+/// # Errors
+///
+/// For each request the reason to wait.
 pub fn next_candidate(
     cluster_state: &ClusterState,
     view: &ClusterView,
@@ -205,8 +211,8 @@
     }
 }
 
-/// Whoever waited too long; then the zone that was worked on last, so that zones go one after the other; then
-/// those that keep no vote; then the least loaded; then the oldest.
+/// Order of eligible requests: those passed over too often; then those of the zone worked on last, so that
+/// zones are completed one after the other; non-voters before voters; the least loaded; the oldest.
 fn priority(cluster_state: &ClusterState, view: &ClusterView, item: &MaintenanceRequest) -> impl Ord {
     let starved = item.times_passed_over >= STARVATION_THRESHOLD;
     let last_zone = cluster_state.closed_requests.back().map(|over| over.zone.as_str());
@@ -216,7 +222,7 @@
         .iter()
         .find(|member| member.name == item.machine)
         .and_then(|member| member.status.as_ref());
-    // In steps, so that the order does not hang on noise.
+    // In steps, so that the order does not depend on noise.
     let load = status.map_or(0, |(status, _)| status.load_milli / 10_000);
     (
         !starved,
@@ -228,12 +234,12 @@
     )
 }
 
-/// Why a machine's work has not been granted, in one line for staff.
+/// Explains to operators, in one line, why a machine's request has not been approved.
 pub fn explain(cluster_state: &ClusterState, view: &ClusterView, limits: &Limits, machine: &str) -> String {
     let Some(item) = cluster_state.open_request(machine) else {
         return match cluster_state.closed_requests.iter().rev().find(|item| item.machine == machine) {
             Some(item) => format!("{machine}: its work is {}", item.state.as_str()),
-            None => format!("{machine}: no work was asked for"),
+            None => format!("{machine}: no work was requested"),
         };
     };
     if item.state != State::Requested {
--- a/fleet/src/swim.rs
+++ b/fleet/src/swim.rs
@@ -1,8 +1,9 @@
-//! Who is alive: the SWIM engine (`foca`) with its timers, and a member's doubt of itself.
+//! Membership and failure detection: the SWIM engine (`foca`), its timers, and the detection of local
+//! stalls.
 //!
-//! A process that was stopped, or had no processor, finds all its timers due at once and the answers of
-//! others still unread. It would call everybody dead. So time that passed without a look moves the timers
-//! on instead: whoever is slow doubts itself before others.
+//! A process that was stopped or got no processor time finds all its timers due at once, with the responses
+//! of others still unread, and would declare all others dead. Time without calls to this module therefore
+//! moves the timers on, so that a slow member does not suspect others.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -18,23 +19,23 @@
 
 use crate::Millis;
 
-/// A member of the fleet, in one of its lives.
+/// A cluster member in one of its incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     pub name: String,
     pub zone: String,
     pub address: SocketAddr,
-    /// Of its disk: another one where the machine came back without it. The raft engine knows it by this.
+    /// Identity of its disk, which changes if the machine comes back without it. Also the Raft identifier.
     pub node: u64,
-    /// Grows with every start and every return from the dead.
+    /// Grows with every start, and when the member returns after it was declared dead.
     pub incarnation: u64,
-    /// Drawn at every start, so that two starts from one copy of a disk differ.
+    /// Boot identifier, drawn at random at every process start, so that two starts from copies of one disk
+    /// differ.
     pub boot: u64,
 }
 
-/// A member as the engine has it. For every update of any member the engine looks through all that it knows,
-/// and copies some of them: so names are compared by a number that is drawn from them once, and nothing is
-/// copied but a pointer.
+/// A member as stored in the engine. For each update of any member the engine scans all members and copies
+/// some of them: names are compared by a hash that is computed once, and only a pointer is copied.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "Member", into = "Member")]
 struct KnownMember {
@@ -86,7 +87,7 @@
     Alive,
     Suspect,
     Dead,
-    /// It said that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
@@ -101,20 +102,21 @@
     }
 }
 
-/// A member is asked every so often; its answer is waited for, then that of others by way of others, then it
-/// is suspect, and then dead.
+/// Timing of failure detection: each period one member is probed; if it does not respond within
+/// `PROBE_RTT`, others probe it indirectly; after that it is suspect, and dead when `SUSPECT_TIMEOUT` has
+/// passed.
 const PROBE_PERIOD: Duration = Duration::from_millis(600);
 const PROBE_RTT: Duration = Duration::from_millis(250);
 const SUSPECT_TIMEOUT: Duration = Duration::from_millis(2_400);
 const GOSSIP_PERIOD: Duration = Duration::from_millis(300);
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(10);
-/// Those that are down are told of us so often, so that a cut that heals is found.
+/// Interval of announcements to members that are down, so that the end of a partition is noticed.
 const ANNOUNCE_TO_DOWN_PERIOD: Duration = Duration::from_secs(2);
-/// A dead one is forgotten by the engine after this.
+/// The engine forgets a dead member after this.
 const FORGET_DOWN_AFTER: Duration = Duration::from_secs(60);
-/// A message between members, at most.
+/// Maximum size of a SWIM message.
 const MAX_PACKET_BYTES: usize = 8 * 1024;
-/// Looks come far more often than this; what is missing has been slept through.
+/// Calls come far more often than this; a longer gap means that the process did not run.
 pub const STALL_THRESHOLD_MS: Millis = 400;
 
 pub struct Swim {
@@ -123,17 +125,17 @@
     timers: BTreeMap<(Millis, u64), Timer<KnownMember>>,
     count: u64,
     last_checked: Millis,
-    /// Time that was slept through, in all.
+    /// Total time of all stalls.
     stalled_ms: Millis,
 }
 
-/// What came of a look.
+/// What the engine produced in a call.
 #[derive(Debug, Default)]
 pub struct SwimOutput {
     pub send: Vec<(Member, Vec<u8>)>,
     pub up: Vec<Member>,
     pub down: Vec<Member>,
-    /// We were taken for dead, and live on as this.
+    /// This member was declared dead and continues under a new incarnation.
     pub identity_renewed: bool,
 }
 
@@ -168,12 +170,12 @@
         &self.foca.identity().member
     }
 
-    /// Time slept through since the start.
+    /// Total stalled time since the start.
     pub fn stalled_ms(&self) -> Millis {
         self.stalled_ms
     }
 
-    /// Members that the engine knows, with itself.
+    /// Members known to the engine, including this one.
     pub fn members(&self) -> impl Iterator<Item = (&Member, Health)> {
         let others = self.foca.iter_membership_state().map(|member| {
             let health = match member.state() {
@@ -186,16 +188,16 @@
         others.chain([(self.me(), Health::Alive)])
     }
 
-    /// Another life begins, after one that others know of.
+    /// Changes to another identity, after others have seen a newer incarnation or a copy of the disk.
     pub fn change_identity(&mut self, now: Millis, me: Member) -> SwimOutput {
-        // Refused where it is the same one, which changes nothing.
+        // An unchanged identity is refused, which has no effect.
         let _ = self.foca.change_identity(me.into(), &mut self.runtime);
         self.renew_suspicions();
         self.collect_output(now)
     }
 
-    /// The engine's timers are of one life: a suspicion of the life before would last for ever. Each is held
-    /// anew, so that whom it concerns hears of it and speaks, or is dead in time.
+    /// The engine's timers belong to one incarnation: a suspicion of the incarnation before would never
+    /// expire. Each suspicion is raised again, so that the member refutes it or is declared dead in time.
     fn renew_suspicions(&mut self) {
         let suspect = |member: &&foca::Member<KnownMember>| member.state() == foca::State::Suspect;
         let renew = |member: &foca::Member<KnownMember>| {
@@ -203,30 +205,30 @@
             foca::Member::new(member.id().clone(), incarnation, foca::State::Suspect)
         };
         let all: Vec<_> = self.foca.iter_membership_state().filter(suspect).map(renew).collect();
-        // What is no news changes nothing.
+        // An update that is not news has no effect.
         let _ = self.foca.apply_many(all.into_iter(), true, &mut self.runtime);
     }
 
-    /// A member was met on a link.
+    /// Announces this member to another one that was met on a connection.
     pub fn announce(&mut self, now: Millis, member: &Member) -> SwimOutput {
         let _ = self.foca.announce(member.clone().into(), &mut self.runtime);
         self.collect_output(now)
     }
 
     pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> SwimOutput {
-        // Spoilt words, and words to one of our lives before, settle nothing.
+        // Messages that are invalid or addressed to an earlier incarnation are ignored.
         let _ = self.foca.handle_data(bytes, &mut self.runtime);
         self.collect_output(now)
     }
 
-    /// Says farewell: others need not suspect us.
+    /// Announces a graceful leave, so that others don't suspect this member.
     pub fn leave(&mut self, now: Millis) -> SwimOutput {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.collect_output(now)
     }
 
-    /// Notes how long it was not looked, ahead of anything that has come meanwhile; says how long that was,
-    /// where it was too long.
+    /// Detects a stall: returns the time since the last call if it exceeds [`STALL_THRESHOLD_MS`], and
+    /// postpones the timers by it. To be called before messages that arrived in the meantime are passed in.
     pub fn detect_stall(&mut self, now: Millis) -> Option<Millis> {
         let stalled_for = now.saturating_sub(self.last_checked);
         self.last_checked = now;
@@ -250,7 +252,7 @@
                 break;
             }
             if let Some(timer) = self.timers.remove(&(at, count)) {
-                // A timer of a probe that was overtaken says so, and nothing follows.
+                // The timer of an outdated probe returns an error, which has no effect.
                 let _ = self.foca.handle_timer(timer, &mut self.runtime);
             }
             let more = self.collect_output(now);
--- a/fleet/tests/agreed.rs
+++ b/fleet/tests/agreed.rs
@@ -80,7 +80,7 @@
     for event in Event::ALL {
         let fenced = log.about("n1", 1, event);
         assert!(
-            matches!(fenced, Err(Rejection::Fenced { told: 1, present: 2, .. })),
+            matches!(fenced, Err(Rejection::Fenced { received: 1, current: 2, .. })),
             "{event:?}: {fenced:?}"
         );
     }
--- a/fleet/tests/fleet.rs
+++ b/fleet/tests/fleet.rs
@@ -97,7 +97,7 @@
             assert_eq!(world.node(old).cluster_state().open_requests.len(), 1, "{}", world.logs());
         }
     }
-    assert!(world.logs().contains("begins anew"), "{}", world.logs());
+    assert!(world.logs().contains("takes the new disk identity"), "{}", world.logs());
 }
 
 /// Members of two versions, each upgraded while it is out: what only the newer one knows is refused until all
@@ -143,7 +143,7 @@
     world.machines[back].minor = 0;
     world.start(back);
     world.run(3_000);
-    assert!(world.logs().contains("version 1.0 is spoken there, and the log holds 1.1"), "{}", world.logs());
+    assert!(world.logs().contains("version 1.0 is too old, the log has entries of 1.1"), "{}", world.logs());
     assert_kept(&world);
 }
 
@@ -165,7 +165,7 @@
     assert!(roll(&mut world, 120_000), "{}", world.logs());
     assert_kept(&world);
     (0..6).for_each(|place| assert_eq!(world.machines[place].left_by.len(), 1, "{}", world.logs()));
-    assert!(world.logs().contains("slept for 6") && !world.logs().contains(" is dead"), "{}", world.logs());
+    assert!(world.logs().contains("stalled for 6") && !world.logs().contains(" is dead"), "{}", world.logs());
 }
 
 #[test]
@@ -266,7 +266,9 @@
     world.run(3_000);
     world.heal();
     world.run(8_000);
-    assert!(world.logs().contains("has another council of the same number, staff must choose"));
+    assert!(world
+        .logs()
+        .contains("is in another consensus group of the same number, an operator must choose one"));
     let number = |world: &World, place: usize| world.node(place).metrics().group_number;
     assert_eq!((number(&world, 2), number(&world, 3)), (2, 2));
     // The other one comes back without its directory, and the machine that followed neither with it.
@@ -458,7 +460,7 @@
         assert!(!node.receive(now, stranger.clone()));
         world.run(1_000);
         let told =
-            world.machines[0].log.iter().filter(|line| line.contains("is refused: this is cluster kl"));
+            world.machines[0].log.iter().filter(|line| line.contains("is rejected: this is cluster kl"));
         assert_eq!(told.count(), if second < 60 { 1 } else { 2 }, "after {second} s");
     }
     assert_eq!(world.node(0).metrics().unexpected_messages, 62);
--- a/fleet/tests/order.rs
+++ b/fleet/tests/order.rs
@@ -104,12 +104,12 @@
         (|s| s.status("n1").0.serving = false, "n1: not yet, because the machine itself is not serving"),
         (
             |s| s.view.disturbance = Some(("n3 was lost".into(), 999)),
-            "n1: not yet, because n3 was lost 999 ms ago, and calm is 1000 ms",
+            "n1: not yet, because n3 was lost 999 ms ago, 1000 ms without a disturbance are required",
         ),
         (|s| s.view.disturbance = Some(("n3 was lost".into(), 1_000)), "n1: it is next"),
         (
             |s| s.status("n4").0.capacity_milli = 19_000,
-            "n1: not yet, because 59 set-ups a second would be left, and 40 with a reserve are needed",
+            "n1: not yet, because 59 set-ups a second would remain, 40 and the reserve are needed",
         ),
         // Where one does not know what it can take, the sum is not known.
         (|s| s.status("n4").0.capacity_milli = 0, "n1: it is next"),
@@ -126,7 +126,7 @@
         }
         assert_eq!(stand.why("n1"), told, "line {place}");
     }
-    assert_eq!(Stand::new().why("n4"), "n4: no work was asked for");
+    assert_eq!(Stand::new().why("n4"), "n4: no work was requested");
 }
 
 #[test]
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -209,7 +209,7 @@
     }
 
     pub fn lose_disk(&mut self, place: usize) {
-        let line = format!("{} world: begins anew, its disk is lost", self.now);
+        let line = format!("{} world: its disk is lost, it takes a new disk identity", self.now);
         self.machines[place].log.push(line);
         self.machines[place].directory = Directory::default();
     }
@@ -622,7 +622,7 @@
                 machine.away,
                 machine.stalled_until > self.now
             ));
-            for line in machine.log.iter().filter(|line| line.contains("anew")) {
+            for line in machine.log.iter().filter(|line| line.contains("disk identity")) {
                 text.push_str(&format!("    {line}\n"));
             }
         }
