--- a/fleet/src/node/mod.rs
+++ b/fleet/src/node/mod.rs
@@ -301,7 +301,7 @@
             node.is_away = true;
             node.effects.push(Effect::RemainOut { approval });
             node.log(format!(
-                "fleet: this machine was out for work, grant {approval}, and stays out until the cluster confirms its return"
+                "fleet: this machine was out for work, grant {approval}, and stays out until it may return"
             ));
         }
         node.update_held_servers();
