--- a/agent/src/fleet/copies.rs
+++ b/agent/src/fleet/copies.rs
@@ -9,9 +9,9 @@
 };
 use steprelay_copies::messages::Message;
 use steprelay_copies::StreamId;
+use steprelay_fleet::messages::{HeldReplica, StreamEpoch};
 use steprelay_fleet::node::Node;
 use steprelay_fleet::swim;
-use steprelay_fleet::words::{Held, Written};
 use steprelay_fleet::Millis;
 use tokio::sync::mpsc;
 
@@ -94,14 +94,14 @@
 
     /// Time has passed: what the fleet knows by now counts.
     pub fn tick(&mut self, now: Millis, node: &mut Node) {
-        let agreed = node.agreed();
-        let stream_owners = agreed.streams.iter().map(|(stream, by)| StreamOwner {
+        let cluster_state = node.cluster_state();
+        let stream_owners = cluster_state.stream_owners.iter().map(|(stream, by)| StreamOwner {
             stream: StreamId(*stream),
             name: by.name.clone(),
             boot: by.boot,
             epoch: by.epoch,
         });
-        let peers = node.places().map(|(member, is_serving)| PeerMember {
+        let peers = node.replica_candidates().map(|(member, is_serving)| PeerMember {
             name: member.name.clone(),
             zone: member.zone.clone(),
             boot: member.boot,
@@ -111,22 +111,22 @@
             has_lease: node.lease().is_some_and(|until| now < until),
             peers: peers.collect(),
             stream_owners: stream_owners.collect(),
-            settled: agreed.settled.iter().copied().map(StreamId).collect(),
+            settled: cluster_state.closed_streams.iter().copied().map(StreamId).collect(),
         };
         self.member.tick(now, &view);
         for (stream, epoch) in self.member.streams_to_settle(now) {
-            node.settle(now, stream.0, epoch);
+            node.close_stream(now, stream.0, epoch);
         }
         let writes = self.member.owned_streams().into_iter();
-        let writes = writes.map(|(stream, epoch)| Written { stream: stream.0, epoch });
+        let writes = writes.map(|(stream, epoch)| StreamEpoch { stream: stream.0, epoch });
         let replicas = self.member.holder().replicas().filter(|(_, replica)| !replica.records().is_empty());
-        let holds = replicas.map(|(stream, replica)| Held {
-            written: Written { stream: stream.0, epoch: replica.epoch() },
-            writer: replica.primary().into(),
-            boot: replica.boot(),
-            number: replica.sequence(),
+        let holds = replicas.map(|(stream, replica)| HeldReplica {
+            stream: StreamEpoch { stream: stream.0, epoch: replica.epoch() },
+            primary: replica.primary().into(),
+            primary_boot: replica.boot(),
+            sequence: replica.sequence(),
         });
-        node.copies(writes.collect(), holds.collect());
+        node.set_streams(writes.collect(), holds.collect());
     }
 
     /// Says what is new, and tells the program what came of it.
@@ -134,7 +134,7 @@
         self.member.poll(now);
         for (to, message) in self.member.take_messages() {
             // Nothing that a word holds can fail to be written into memory.
-            node.say_copies(&to, postcard::to_stdvec(&message).unwrap_or_default());
+            node.send_replication(&to, postcard::to_stdvec(&message).unwrap_or_default());
         }
         while let Some(news) = self.member.next_event() {
             self.waiting.push_back(news);
--- a/fleet/src/swim.rs
+++ b/fleet/src/swim.rs
@@ -1,8 +1,9 @@
-//! Who is alive: the SWIM engine (`foca`) with its timers, and a member's doubt of itself.
+//! Membership and failure detection: the SWIM engine (`foca`), its timers, and the detection of local
+//! stalls.
 //!
-//! A process that was stopped, or had no processor, finds all its timers due at once and the answers of
-//! others still unread. It would call everybody dead. So time that passed without a look moves the timers
-//! on instead: whoever is slow doubts itself before others.
+//! A process that was stopped or got no processor time finds all its timers due at once, with the responses
+//! of others still unread, and would declare all others dead. Time without calls to this module therefore
+//! moves the timers on, so that a slow member does not suspect others.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -18,58 +19,58 @@
 
 use crate::Millis;
 
-/// A member of the fleet, in one of its lives.
+/// A cluster member in one of its incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     pub name: String,
     pub zone: String,
     pub address: SocketAddr,
-    /// Of its disk: another one where the machine came back without it. The raft engine knows it by this.
+    /// Identity of its disk, which changes if the machine comes back without it. Also the Raft identifier.
     pub node: u64,
-    /// Grows with every start and every return from the dead.
-    pub life: u64,
-    /// Drawn at every start, so that two starts from one copy of a disk differ.
+    /// Grows with every start, and when the member returns after it was declared dead.
+    pub incarnation: u64,
+    /// Boot identifier, drawn at random at every process start, so that two starts from copies of one disk
+    /// differ.
     pub boot: u64,
 }
 
-/// A member as the engine has it. For every update of any member the engine looks through all that it knows,
-/// and copies some of them: so names are compared by a number that is drawn from them once, and nothing is
-/// copied but a pointer.
+/// A member as stored in the engine. For each update of any member the engine scans all members and copies
+/// some of them: names are compared by a hash that is computed once, and only a pointer is copied.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "Member", into = "Member")]
-struct Known {
+struct KnownMember {
     key: u64,
     member: Rc<Member>,
 }
 
-impl From<Member> for Known {
+impl From<Member> for KnownMember {
     fn from(member: Member) -> Self {
         let mut key = DefaultHasher::new();
         member.name.hash(&mut key);
-        Known { key: key.finish(), member: Rc::new(member) }
+        KnownMember { key: key.finish(), member: Rc::new(member) }
     }
 }
 
-impl From<Known> for Member {
-    fn from(known: Known) -> Self {
+impl From<KnownMember> for Member {
+    fn from(known: KnownMember) -> Self {
         Rc::unwrap_or_clone(known.member)
     }
 }
 
-impl PartialEq for Known {
+impl PartialEq for KnownMember {
     fn eq(&self, other: &Self) -> bool {
         self.key == other.key && (Rc::ptr_eq(&self.member, &other.member) || self.member == other.member)
     }
 }
 
-impl Eq for Known {}
+impl Eq for KnownMember {}
 
-impl Identity for Known {
+impl Identity for KnownMember {
     type Addr = u64;
 
     fn renew(&self) -> Option<Self> {
-        let member = Member { life: self.member.life + 1, ..Member::clone(&self.member) };
-        Some(Known { key: self.key, member: Rc::new(member) })
+        let member = Member { incarnation: self.member.incarnation + 1, ..Member::clone(&self.member) };
+        Some(KnownMember { key: self.key, member: Rc::new(member) })
     }
 
     fn addr(&self) -> u64 {
@@ -77,7 +78,7 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.member.life, self.member.node) > (other.member.life, other.member.node)
+        (self.member.incarnation, self.member.node) > (other.member.incarnation, other.member.node)
     }
 }
 
@@ -86,12 +87,12 @@
     Alive,
     Suspect,
     Dead,
-    /// It said that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
 impl Health {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Health::Alive => "alive",
             Health::Suspect => "suspect",
@@ -101,66 +102,67 @@
     }
 }
 
-/// A member is asked every so often; its answer is waited for, then that of others by way of others, then it
-/// is suspect, and then dead.
-const PROBE_EVERY: Duration = Duration::from_millis(600);
-const ANSWER_WITHIN: Duration = Duration::from_millis(250);
-const SUSPECT_FOR: Duration = Duration::from_millis(2_400);
-const GOSSIP_EVERY: Duration = Duration::from_millis(300);
-const ANNOUNCE_EVERY: Duration = Duration::from_secs(10);
-/// Those that are down are told of us so often, so that a cut that heals is found.
-const CALL_BACK_EVERY: Duration = Duration::from_secs(2);
-/// A dead one is forgotten by the engine after this.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// A message between members, at most.
-const LARGEST: usize = 8 * 1024;
-/// Looks come far more often than this; what is missing has been slept through.
-pub const SLEPT: Millis = 400;
+/// Timing of failure detection: each period one member is probed; if it does not respond within
+/// `PROBE_RTT`, others probe it indirectly; after that it is suspect, and dead when `SUSPECT_TIMEOUT` has
+/// passed.
+const PROBE_PERIOD: Duration = Duration::from_millis(600);
+const PROBE_RTT: Duration = Duration::from_millis(250);
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(2_400);
+const GOSSIP_PERIOD: Duration = Duration::from_millis(300);
+const ANNOUNCE_PERIOD: Duration = Duration::from_secs(10);
+/// Interval of announcements to members that are down, so that the end of a partition is noticed.
+const ANNOUNCE_TO_DOWN_PERIOD: Duration = Duration::from_secs(2);
+/// The engine forgets a dead member after this.
+const FORGET_DOWN_AFTER: Duration = Duration::from_secs(60);
+/// Maximum size of a SWIM message.
+const MAX_PACKET_BYTES: usize = 8 * 1024;
+/// Calls come far more often than this; a longer gap means that the process did not run.
+pub const STALL_THRESHOLD_MS: Millis = 400;
 
 pub struct Swim {
-    foca: Foca<Known, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
-    runtime: AccumulatingRuntime<Known>,
-    timers: BTreeMap<(Millis, u64), Timer<Known>>,
+    foca: Foca<KnownMember, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
+    runtime: AccumulatingRuntime<KnownMember>,
+    timers: BTreeMap<(Millis, u64), Timer<KnownMember>>,
     count: u64,
-    looked: Millis,
-    /// Time that was slept through, in all.
-    slept: Millis,
+    last_checked: Millis,
+    /// Total time of all stalls.
+    stalled_ms: Millis,
 }
 
-/// What came of a look.
+/// What the engine produced in a call.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct SwimOutput {
     pub send: Vec<(Member, Vec<u8>)>,
     pub up: Vec<Member>,
     pub down: Vec<Member>,
-    /// We were taken for dead, and live on as this.
-    pub renewed: bool,
+    /// This member was declared dead and continues under a new incarnation.
+    pub identity_renewed: bool,
 }
 
 impl Swim {
     pub fn new(now: Millis, me: Member, seed: u64) -> Self {
-        let few = |number| NonZeroUsize::new(number).unwrap_or(NonZeroUsize::MIN);
-        let params = |frequency, number| foca::PeriodicParams { frequency, num_members: few(number) };
+        let nonzero = |number| NonZeroUsize::new(number).unwrap_or(NonZeroUsize::MIN);
+        let params = |frequency, number| foca::PeriodicParams { frequency, num_members: nonzero(number) };
         let config = Config {
-            probe_period: PROBE_EVERY,
-            probe_rtt: ANSWER_WITHIN,
-            num_indirect_probes: few(3),
+            probe_period: PROBE_PERIOD,
+            probe_rtt: PROBE_RTT,
+            num_indirect_probes: nonzero(3),
             max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: SUSPECT_FOR,
-            remove_down_after: Some(FORGET_AFTER),
-            max_packet_size: few(LARGEST),
+            suspect_to_down_after: SUSPECT_TIMEOUT,
+            remove_down_after: Some(FORGET_DOWN_AFTER),
+            max_packet_size: nonzero(MAX_PACKET_BYTES),
             notify_down_members: true,
-            periodic_announce: Some(params(ANNOUNCE_EVERY, 1)),
-            periodic_announce_to_down_members: Some(params(CALL_BACK_EVERY, 2)),
-            periodic_gossip: Some(params(GOSSIP_EVERY, 3)),
+            periodic_announce: Some(params(ANNOUNCE_PERIOD, 1)),
+            periodic_announce_to_down_members: Some(params(ANNOUNCE_TO_DOWN_PERIOD, 2)),
+            periodic_gossip: Some(params(GOSSIP_PERIOD, 3)),
         };
         Swim {
             foca: Foca::new(me.into(), config, StdRng::seed_from_u64(seed), PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
             count: 0,
-            looked: now,
-            slept: 0,
+            last_checked: now,
+            stalled_ms: 0,
         }
     }
 
@@ -168,12 +170,12 @@
         &self.foca.identity().member
     }
 
-    /// Time slept through since the start.
-    pub fn slept(&self) -> Millis {
-        self.slept
+    /// Total stalled time since the start.
+    pub fn stalled_ms(&self) -> Millis {
+        self.stalled_ms
     }
 
-    /// Members that the engine knows, with itself.
+    /// Members known to the engine, including this one.
     pub fn members(&self) -> impl Iterator<Item = (&Member, Health)> {
         let others = self.foca.iter_membership_state().map(|member| {
             let health = match member.state() {
@@ -186,96 +188,98 @@
         others.chain([(self.me(), Health::Alive)])
     }
 
-    /// Another life begins, after one that others know of.
-    pub fn live_on(&mut self, now: Millis, me: Member) -> Found {
-        // Refused where it is the same one, which changes nothing.
+    /// Changes to another identity, after others have seen a newer incarnation or a copy of the disk.
+    pub fn change_identity(&mut self, now: Millis, me: Member) -> SwimOutput {
+        // An unchanged identity is refused, which has no effect.
         let _ = self.foca.change_identity(me.into(), &mut self.runtime);
-        self.suspect_anew();
-        self.drain(now)
+        self.renew_suspicions();
+        self.collect_output(now)
     }
 
-    /// The engine's timers are of one life: a suspicion of the life before would last for ever. Each is held
-    /// anew, so that whom it concerns hears of it and speaks, or is dead in time.
-    fn suspect_anew(&mut self) {
-        let suspect = |member: &&foca::Member<Known>| member.state() == foca::State::Suspect;
-        let anew = |member: &foca::Member<Known>| {
+    /// The engine's timers belong to one incarnation: a suspicion of the incarnation before would never
+    /// expire. Each suspicion is raised again, so that the member refutes it or is declared dead in time.
+    fn renew_suspicions(&mut self) {
+        let suspect = |member: &&foca::Member<KnownMember>| member.state() == foca::State::Suspect;
+        let renew = |member: &foca::Member<KnownMember>| {
             let incarnation = member.incarnation().saturating_add(1);
             foca::Member::new(member.id().clone(), incarnation, foca::State::Suspect)
         };
-        let all: Vec<_> = self.foca.iter_membership_state().filter(suspect).map(anew).collect();
-        // What is no news changes nothing.
+        let all: Vec<_> = self.foca.iter_membership_state().filter(suspect).map(renew).collect();
+        // An update that is not news has no effect.
         let _ = self.foca.apply_many(all.into_iter(), true, &mut self.runtime);
     }
 
-    /// A member was met on a link.
-    pub fn met(&mut self, now: Millis, member: &Member) -> Found {
+    /// Announces this member to another one that was met on a connection.
+    pub fn announce(&mut self, now: Millis, member: &Member) -> SwimOutput {
         let _ = self.foca.announce(member.clone().into(), &mut self.runtime);
-        self.drain(now)
+        self.collect_output(now)
     }
 
-    pub fn received(&mut self, now: Millis, bytes: &[u8]) -> Found {
-        // Spoilt words, and words to one of our lives before, settle nothing.
+    pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> SwimOutput {
+        // Messages that are invalid or addressed to an earlier incarnation are ignored.
         let _ = self.foca.handle_data(bytes, &mut self.runtime);
-        self.drain(now)
+        self.collect_output(now)
     }
 
-    /// Says farewell: others need not suspect us.
-    pub fn leave(&mut self, now: Millis) -> Found {
+    /// Announces a graceful leave, so that others don't suspect this member.
+    pub fn leave(&mut self, now: Millis) -> SwimOutput {
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.drain(now)
+        self.collect_output(now)
     }
 
-    /// Notes how long it was not looked, ahead of anything that has come meanwhile; says how long that was,
-    /// where it was too long.
-    pub fn wake(&mut self, now: Millis) -> Option<Millis> {
-        let away = now.saturating_sub(self.looked);
-        self.looked = now;
-        if away <= SLEPT {
+    /// Detects a stall: returns the time since the last call if it exceeds [`STALL_THRESHOLD_MS`], and
+    /// postpones the timers by it. To be called before messages that arrived in the meantime are passed in.
+    pub fn detect_stall(&mut self, now: Millis) -> Option<Millis> {
+        let stalled_for = now.saturating_sub(self.last_checked);
+        self.last_checked = now;
+        if stalled_for <= STALL_THRESHOLD_MS {
             return None;
         }
-        self.slept += away;
+        self.stalled_ms += stalled_for;
         self.timers = std::mem::take(&mut self.timers)
             .into_iter()
-            .map(|((at, count), timer)| ((at.max(now.saturating_sub(away)) + away, count), timer))
+            .map(|((at, count), timer)| {
+                ((at.max(now.saturating_sub(stalled_for)) + stalled_for, count), timer)
+            })
             .collect();
-        Some(away)
+        Some(stalled_for)
     }
 
-    pub fn tick(&mut self, now: Millis) -> Found {
-        let mut found = Found::default();
+    pub fn tick(&mut self, now: Millis) -> SwimOutput {
+        let mut output = SwimOutput::default();
         while let Some((&(at, count), _)) = self.timers.first_key_value() {
             if at > now {
                 break;
             }
             if let Some(timer) = self.timers.remove(&(at, count)) {
-                // A timer of a probe that was overtaken says so, and nothing follows.
+                // The timer of an outdated probe returns an error, which has no effect.
                 let _ = self.foca.handle_timer(timer, &mut self.runtime);
             }
-            let more = self.drain(now);
-            found.send.extend(more.send);
-            found.up.extend(more.up);
-            found.down.extend(more.down);
-            found.renewed |= more.renewed;
+            let more = self.collect_output(now);
+            output.send.extend(more.send);
+            output.up.extend(more.up);
+            output.down.extend(more.down);
+            output.identity_renewed |= more.identity_renewed;
         }
-        found
+        output
     }
 
-    fn drain(&mut self, now: Millis) -> Found {
-        let mut found = self.drain_once(now);
-        if found.renewed {
-            self.suspect_anew();
-            let more = self.drain_once(now);
-            found.send.extend(more.send);
-            found.up.extend(more.up);
-            found.down.extend(more.down);
+    fn collect_output(&mut self, now: Millis) -> SwimOutput {
+        let mut output = self.collect_output_once(now);
+        if output.identity_renewed {
+            self.renew_suspicions();
+            let more = self.collect_output_once(now);
+            output.send.extend(more.send);
+            output.up.extend(more.up);
+            output.down.extend(more.down);
         }
-        found
+        output
     }
 
-    fn drain_once(&mut self, now: Millis) -> Found {
-        let mut found = Found::default();
+    fn collect_output_once(&mut self, now: Millis) -> SwimOutput {
+        let mut output = SwimOutput::default();
         while let Some((to, bytes)) = self.runtime.to_send() {
-            found.send.push((to.into(), bytes.to_vec()));
+            output.send.push((to.into(), bytes.to_vec()));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.count += 1;
@@ -283,13 +287,13 @@
         }
         while let Some(told) = self.runtime.to_notify() {
             match told {
-                OwnedNotification::MemberUp(member) => found.up.push(member.into()),
-                OwnedNotification::MemberDown(member) => found.down.push(member.into()),
-                OwnedNotification::Rename(_, member) => found.up.push(member.into()),
-                OwnedNotification::Rejoin(_) => found.renewed = true,
+                OwnedNotification::MemberUp(member) => output.up.push(member.into()),
+                OwnedNotification::MemberDown(member) => output.down.push(member.into()),
+                OwnedNotification::Rename(_, member) => output.up.push(member.into()),
+                OwnedNotification::Rejoin(_) => output.identity_renewed = true,
                 _ => {}
             }
         }
-        found
+        output
     }
 }
