--- a/agent/src/front/m3ua/config.rs
+++ b/agent/src/front/m3ua/config.rs
@@ -8,7 +8,7 @@
 use steprelay_decisions::{Entry, Micros, Readiness, ServerId};
 use steprelay_settings::Site;
 use steprelay_signalling::circuits::{self, Controls, OnStart, Selection, Timers};
-use steprelay_signalling::m3ua::{gateway, member, TrafficMode};
+use steprelay_signalling::m3ua::{asp, gateway, TrafficMode};
 use steprelay_signalling::office::{self, Destination};
 use steprelay_signalling::trie::{PrefixError, PrefixTrie};
 
@@ -241,7 +241,7 @@
     pub addresses: Vec<SocketAddr>,
     number: u32,
     tenant: Option<usize>,
-    member: member::Config,
+    asp: asp::Config,
     circuits: circuits::Config,
 }
 
@@ -319,7 +319,7 @@
             if self.clients[..place].iter().any(|other| other.config.routing_context == context) {
                 return wrong(format!("client '{}': its routing context is another's too", client.name));
             }
-            if client.config.needed > self.times.most_asps {
+            if client.config.min_active_asps > self.times.most_asps {
                 return wrong(format!("client '{}': needed is over most_asps", client.name));
             }
         }
@@ -342,23 +342,23 @@
                 point_code: self.point_code,
                 network: self.network,
                 servers: self.clients.iter().map(|client| client.config.clone()).collect(),
-                recovery: micros(times.recovery_ms),
-                queue: times.queue,
-                beat: micros(times.beat_ms),
-                beat_misses: times.beat_misses,
-                coming_up: COMING_UP,
-                most_of_one: times.most_asps,
+                recovery_timeout: micros(times.recovery_ms),
+                queue_capacity: times.queue,
+                heartbeat_interval: micros(times.beat_ms),
+                max_missed_heartbeats: times.beat_misses,
+                asp_up_timeout: COMING_UP,
+                max_asps_per_server: times.most_asps,
             },
             clients: self.clients.iter().map(|client| self.kept(&client.circuits)).collect(),
             servers: self
                 .servers
                 .iter()
                 .map(|server| office::ServerConfig {
-                    member: member::Config {
-                        ack: micros(times.ack_ms),
-                        tries: times.ack_tries,
-                        audit: micros(times.audit_ms),
-                        ..server.member.clone()
+                    asp: asp::Config {
+                        ack_timeout: micros(times.ack_ms),
+                        max_attempts: times.ack_tries,
+                        audit_interval: micros(times.audit_ms),
+                        ..server.asp.clone()
                     },
                     circuits: self.kept(&server.circuits),
                 })
@@ -469,9 +469,9 @@
             point_code: self.point_code,
             routing_context: self.routing_context,
             mode: self.mode.mode(),
-            needed: self.needed,
+            min_active_asps: self.needed,
             identifiers: self.asp_identifiers,
-            registration: self.registration,
+            allows_registration: self.registration,
         };
         let circuits = circuits::Config {
             equipped: self.circuits,
@@ -497,17 +497,17 @@
         if self.longest.is_some_and(|longest| longest < SHORTEST) {
             return wrong(format!("server '{}': longest must be {SHORTEST} at least", self.name));
         }
-        let member = member::Config {
+        let asp = asp::Config {
             point_code,
-            peer: self.point_code,
+            peer_point_code: self.point_code,
             network,
             routing_context: self.routing_context,
             mode: self.mode.mode(),
-            names_mode: self.names_mode,
+            sends_mode: self.names_mode,
             identifier: self.asp_identifier,
-            ack: 0,
-            tries: 0,
-            audit: 0,
+            ack_timeout: 0,
+            max_attempts: 0,
+            audit_interval: 0,
         };
         let circuits = circuits::Config {
             equipped: Some((1, self.circuits)),
@@ -531,7 +531,7 @@
         };
         let mut addresses = vec![self.address];
         addresses.extend(self.siblings);
-        Ok(ServerPeer { name: self.name, addresses, number: self.number, tenant, member, circuits })
+        Ok(ServerPeer { name: self.name, addresses, number: self.number, tenant, asp, circuits })
     }
 }
 
--- a/agent/src/front/m3ua/figures.rs
+++ b/agent/src/front/m3ua/figures.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use steprelay_signalling::circuits::Trunk;
-use steprelay_signalling::m3ua::states::{Asp, Members, Server};
+use steprelay_signalling::m3ua::states::{AspCounts, AspState, ServerState};
 
 use super::Handle;
 use crate::ports::{PeerFigures, SignallingFigures};
@@ -20,25 +20,26 @@
         let office = self.office.borrow();
         let gateway = office.gateway();
         let mut errors: BTreeMap<u8, u64> =
-            gateway.errors().map(|(fault, count)| (fault as u8, count)).collect();
+            gateway.errors().map(|(code, count)| (code as u8, count)).collect();
         let clients = office.clients().iter().enumerate().map(|(place, trunk)| {
             let name = self.config.clients[place].name.clone();
-            peer(name, true, gateway.state(place), gateway.members(place), trunk)
+            peer(name, true, gateway.state(place), gateway.asp_counts(place), trunk)
         });
-        let servers = office.servers().iter().enumerate().map(|(place, (member, trunk))| {
-            let in_state = |wanted| member.associations().filter(|(_, state)| *state == wanted).count();
-            let members = Members { inactive: in_state(Asp::Inactive), active: in_state(Asp::Active) };
-            let state = match (member.is_active(), members.inactive) {
-                (true, _) => Server::Active,
-                (false, 0) => Server::Down,
-                (false, _) => Server::Inactive,
+        let servers = office.servers().iter().enumerate().map(|(place, (asp, trunk))| {
+            let in_state = |wanted| asp.associations().filter(|(_, state)| *state == wanted).count();
+            let counts =
+                AspCounts { inactive: in_state(AspState::Inactive), active: in_state(AspState::Active) };
+            let state = match (asp.is_active(), counts.inactive) {
+                (true, _) => ServerState::Active,
+                (false, 0) => ServerState::Down,
+                (false, _) => ServerState::Inactive,
             };
-            peer(self.config.servers[place].name.clone(), false, state, members, trunk)
+            peer(self.config.servers[place].name.clone(), false, state, counts, trunk)
         });
         let peers = clients.chain(servers).collect();
-        for (member, _) in office.servers() {
-            for (fault, count) in member.errors() {
-                *errors.entry(fault as u8).or_default() += count;
+        for (asp, _) in office.servers() {
+            for (code, count) in asp.errors() {
+                *errors.entry(code as u8).or_default() += count;
             }
         }
         let kept_lost = self.kept.as_ref().map_or(0, |kept| kept.lost());
@@ -46,7 +47,7 @@
     }
 }
 
-fn peer(name: String, is_client: bool, state: Server, members: Members, trunk: &Trunk) -> PeerFigures {
+fn peer(name: String, is_client: bool, state: ServerState, counts: AspCounts, trunk: &Trunk) -> PeerFigures {
     let mut circuits = [0; 5];
     for (state, count) in trunk.states() {
         let group = match state {
@@ -62,13 +63,13 @@
         name,
         is_client,
         state: match state {
-            Server::Down => 1,
-            Server::Inactive => 2,
-            Server::Pending => 3,
-            Server::Active => 4,
+            ServerState::Down => 1,
+            ServerState::Inactive => 2,
+            ServerState::Pending => 3,
+            ServerState::Active => 4,
         },
-        active: members.active,
-        inactive: members.inactive,
+        active: counts.active,
+        inactive: counts.inactive,
         circuits,
         counts: trunk.counts(),
     }
--- a/agent/src/front/m3ua/sockets.rs
+++ b/agent/src/front/m3ua/sockets.rs
@@ -6,7 +6,7 @@
 
 use steprelay_core::LinkLoss;
 use steprelay_signalling::m3ua::gateway::Association;
-use steprelay_signalling::m3ua::{self, Fault};
+use steprelay_signalling::m3ua::{self, ErrorCode};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinSet;
@@ -51,7 +51,7 @@
     };
     if ended.is_err_and(|error| error.kind() == io::ErrorKind::InvalidData) {
         // What can't be told apart ends the connection, and its peer learns why where it reads that.
-        let error = m3ua::error(Fault::Protocol, &[]);
+        let error = m3ua::error_message(ErrorCode::Protocol, &[]);
         let _ = tokio::time::timeout(PAUSE, conn::write_all(&stream, &error)).await;
         let line = "m3ua: a peer's message is refused: protocol error, its connection is closed";
         front.shared.unreadable.say(front.shared.clock.now(), line);
--- a/signalling/src/conformance.rs
+++ b/signalling/src/conformance.rs
@@ -18,7 +18,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::m3ua::{self, Kind, Message, ProtocolData, Writer, KINDS};
+use crate::m3ua::{self, Kind, Message, MessageBuilder, ProtocolData, KINDS};
 use crate::Micros;
 
 /// The point codes and the routing context that cases are written for.
@@ -207,9 +207,10 @@
             return Ok(Step::Send(connection, data.message(CONTEXT, None).ok_or("too long")?));
         }
         let (kind, parameters) = message_step(rest)?;
-        let writer =
-            parameters.iter().fold(Writer::new(kind), |writer, (tag, value)| writer.put(*tag, value));
-        return Ok(Step::Send(connection, writer.finish().ok_or("too long")?));
+        let builder = parameters
+            .iter()
+            .fold(MessageBuilder::new(kind), |builder, (tag, value)| builder.parameter(*tag, value));
+        return Ok(Step::Send(connection, builder.finish().ok_or("too long")?));
     }
     if let Some(rest) = text.strip_prefix('<') {
         let rest = rest.trim();
@@ -328,13 +329,13 @@
 /// Parameters by the short names that cases use; others are named by their tags.
 const TAGS: [(&str, u16); 8] = [
     ("rc", m3ua::tag::ROUTING_CONTEXT),
-    ("hb", m3ua::tag::HEARTBEAT),
-    ("mode", m3ua::tag::TRAFFIC_MODE),
+    ("hb", m3ua::tag::HEARTBEAT_DATA),
+    ("mode", m3ua::tag::TRAFFIC_MODE_TYPE),
     ("code", m3ua::tag::ERROR_CODE),
     ("status", m3ua::tag::STATUS),
     ("id", m3ua::tag::ASP_IDENTIFIER),
     ("pc", m3ua::tag::AFFECTED_POINT_CODE),
-    ("level", m3ua::tag::CONGESTION),
+    ("level", m3ua::tag::CONGESTION_INDICATIONS),
 ];
 
 type MessageStep = (Kind, Vec<(u16, Vec<u8>)>);
@@ -349,7 +350,7 @@
         let number = |value: &str| value.parse::<u32>().map(u32::to_be_bytes);
         match named {
             // Numbers, one after the other, in decimal.
-            Some((_, tag)) if *tag != m3ua::tag::HEARTBEAT => {
+            Some((_, tag)) if *tag != m3ua::tag::HEARTBEAT_DATA => {
                 let numbers: Result<Vec<_>, _> = value.split(',').map(number).collect();
                 Ok((*tag, numbers.map_err(|_| format!("no number '{value}'"))?.concat()))
             }
@@ -422,9 +423,9 @@
                 expected.fits(&heard).map_err(failed)?;
             }
             Step::Quiet(connection) => {
-                let beat = m3ua::message(Kind::Beat, &[(m3ua::tag::HEARTBEAT, QUIET)]);
+                let beat = m3ua::message(Kind::Beat, &[(m3ua::tag::HEARTBEAT_DATA, QUIET)]);
                 subject.send(*connection, &beat);
-                let parameters = vec![(m3ua::tag::HEARTBEAT, QUIET.to_vec())];
+                let parameters = vec![(m3ua::tag::HEARTBEAT_DATA, QUIET.to_vec())];
                 let expected = Expected::Message { class: 3, kind: 6, parameters };
                 expected.fits(&next(subject, *connection, 3)).map_err(failed)?;
             }
--- a/signalling/src/m3ua/states.rs
+++ b/signalling/src/m3ua/states.rs
@@ -1,101 +1,113 @@
-//! The state machines of ASPs and application servers (RFC 4666 section 4.3) as tables: a row a state, a
-//! column an event, every cell filled in.
+//! The state machines of ASPs and application servers (RFC 4666 section 4.3), as complete tables of state and
+//! event.
 
-use super::{Fault, Kind, TrafficMode};
+use super::{ErrorCode, Kind, TrafficMode};
 
-/// The state of an ASP, as its gateway sees it (RFC 4666 4.3.1), for one application server.
+/// The state of an ASP in one application server, as its gateway sees it (RFC 4666 4.3.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Asp {
+pub enum AspState {
     #[default]
     Down,
     Inactive,
     Active,
 }
 
-/// What an ASP can say about its own state.
+/// An event of an ASP: a message of it, or the loss of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AspEvent {
     Up,
     Down,
     Activate,
     Deactivate,
-    /// Its connection has ended, or its heartbeat is missing.
+    /// The connection has ended, or BEATs were not answered.
     Lost,
 }
 
-/// What the gateway says to it.
+/// The reply of the gateway to an ASP's message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     Nothing,
     Ack(Kind),
-    /// ACK, and ERR (unexpected message) behind it: an ASP that comes up while active has lost its state.
+    /// The acknowledgement, then ERR (unexpected message): an ASP that sends ASPUP while active has lost its
+    /// state.
     AckAndError(Kind),
-    Error(Fault),
+    Error(ErrorCode),
 }
 
-/// The gateway's side of an ASP: the next state and the reply (RFC 4666 figure 3 and 4.3.4).
-pub fn asp(state: Asp, event: AspEvent) -> (Asp, Reply) {
+/// The next state of an ASP and the reply to it (RFC 4666 figure 3 and 4.3.4).
+pub fn next_asp_state(state: AspState, event: AspEvent) -> (AspState, Reply) {
     use Reply::{Ack, AckAndError, Error, Nothing};
     match (state, event) {
-        (_, AspEvent::Lost) => (Asp::Down, Nothing),
-        (_, AspEvent::Down) => (Asp::Down, Ack(Kind::AspDownAck)),
-        (Asp::Down, AspEvent::Up) => (Asp::Inactive, Ack(Kind::AspUpAck)),
-        (Asp::Down, AspEvent::Activate | AspEvent::Deactivate) => (Asp::Down, Error(Fault::Unexpected)),
-        (Asp::Inactive, AspEvent::Up) => (Asp::Inactive, Ack(Kind::AspUpAck)),
-        (Asp::Inactive, AspEvent::Activate) => (Asp::Active, Ack(Kind::AspActiveAck)),
-        (Asp::Inactive, AspEvent::Deactivate) => (Asp::Inactive, Ack(Kind::AspInactiveAck)),
-        (Asp::Active, AspEvent::Up) => (Asp::Inactive, AckAndError(Kind::AspUpAck)),
-        (Asp::Active, AspEvent::Activate) => (Asp::Active, Ack(Kind::AspActiveAck)),
-        (Asp::Active, AspEvent::Deactivate) => (Asp::Inactive, Ack(Kind::AspInactiveAck)),
+        (_, AspEvent::Lost) => (AspState::Down, Nothing),
+        (_, AspEvent::Down) => (AspState::Down, Ack(Kind::AspDownAck)),
+        (AspState::Down, AspEvent::Up) => (AspState::Inactive, Ack(Kind::AspUpAck)),
+        (AspState::Down, AspEvent::Activate | AspEvent::Deactivate) => {
+            (AspState::Down, Error(ErrorCode::Unexpected))
+        }
+        (AspState::Inactive, AspEvent::Up) => (AspState::Inactive, Ack(Kind::AspUpAck)),
+        (AspState::Inactive, AspEvent::Activate) => (AspState::Active, Ack(Kind::AspActiveAck)),
+        (AspState::Inactive, AspEvent::Deactivate) => (AspState::Inactive, Ack(Kind::AspInactiveAck)),
+        (AspState::Active, AspEvent::Up) => (AspState::Inactive, AckAndError(Kind::AspUpAck)),
+        (AspState::Active, AspEvent::Activate) => (AspState::Active, Ack(Kind::AspActiveAck)),
+        (AspState::Active, AspEvent::Deactivate) => (AspState::Inactive, Ack(Kind::AspInactiveAck)),
     }
 }
 
 /// The state of an application server (RFC 4666 4.3.2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Server {
+pub enum ServerState {
     #[default]
     Down,
     Inactive,
-    /// Its last active ASP has gone: traffic waits for another one until T(r) runs out.
+    /// The last active ASP is lost: traffic is queued until an ASP is active again or T(r) expires.
     Pending,
     Active,
 }
 
-impl Server {
-    /// The status information of NTFY, type AS state change (RFC 4666 3.8.2); DOWN is told to nobody.
+impl ServerState {
+    /// The status information of NTFY, type AS state change (RFC 4666 3.8.2); `None` for DOWN, which is not
+    /// notified.
     pub fn status(self) -> Option<u16> {
         match self {
-            Server::Down => None,
-            Server::Inactive => Some(2),
-            Server::Active => Some(3),
-            Server::Pending => Some(4),
+            ServerState::Down => None,
+            ServerState::Inactive => Some(2),
+            ServerState::Active => Some(3),
+            ServerState::Pending => Some(4),
         }
     }
 }
 
-/// The states that its ASPs are in, counted.
+/// The number of ASPs of an application server that are inactive and active.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Members {
+pub struct AspCounts {
     pub inactive: usize,
     pub active: usize,
 }
 
-/// The next state of an application server, from those of its ASPs (RFC 4666 figure 4). `needed` ASPs bring
-/// it up to begin with where traffic is shared; one keeps it up. `waited` tells that T(r) has run out.
-pub fn server(state: Server, members: Members, mode: TrafficMode, needed: usize, waited: bool) -> Server {
-    let needed = match mode {
+/// The next state of an application server, from the states of its ASPs (RFC 4666 figure 4). In loadshare and
+/// broadcast mode, `min_active` ASPs are needed to activate the AS; one active ASP keeps it active.
+/// `recovery_expired` says that T(r) has expired.
+pub fn next_server_state(
+    state: ServerState,
+    counts: AspCounts,
+    mode: TrafficMode,
+    min_active: usize,
+    recovery_expired: bool,
+) -> ServerState {
+    let min_active = match mode {
         TrafficMode::Override => 1,
-        TrafficMode::Loadshare | TrafficMode::Broadcast => needed.max(1),
+        TrafficMode::Loadshare | TrafficMode::Broadcast => min_active.max(1),
     };
-    let resting = if members.inactive + members.active > 0 { Server::Inactive } else { Server::Down };
-    match (state, members.active) {
-        (Server::Down | Server::Inactive, active) if active >= needed => Server::Active,
-        (Server::Down | Server::Inactive, _) => resting,
-        // One that is active again within T(r) takes up what waits, be it alone.
-        (Server::Active | Server::Pending, 1..) => Server::Active,
-        (Server::Active, 0) => Server::Pending,
-        (Server::Pending, 0) if waited => resting,
-        (Server::Pending, 0) => Server::Pending,
+    let without_active =
+        if counts.inactive + counts.active > 0 { ServerState::Inactive } else { ServerState::Down };
+    match (state, counts.active) {
+        (ServerState::Down | ServerState::Inactive, active) if active >= min_active => ServerState::Active,
+        (ServerState::Down | ServerState::Inactive, _) => without_active,
+        // Within T(r), a single ASP that becomes active reactivates the AS, whatever the minimum is.
+        (ServerState::Active | ServerState::Pending, 1..) => ServerState::Active,
+        (ServerState::Active, 0) => ServerState::Pending,
+        (ServerState::Pending, 0) if recovery_expired => without_active,
+        (ServerState::Pending, 0) => ServerState::Pending,
     }
 }
 
@@ -107,9 +119,9 @@
     fn every_cell_of_the_asp_table() {
         use AspEvent::{Activate, Deactivate, Down, Lost, Up};
         let mut table = String::new();
-        for state in [Asp::Down, Asp::Inactive, Asp::Active] {
+        for state in [AspState::Down, AspState::Inactive, AspState::Active] {
             for event in [Up, Down, Activate, Deactivate, Lost] {
-                let (next, reply) = asp(state, event);
+                let (next, reply) = next_asp_state(state, event);
                 table += &format!("{state:?} + {event:?}: {next:?}, {reply:?}\n");
             }
         }
@@ -119,9 +131,11 @@
     #[test]
     fn every_cell_of_the_server_table() {
         let mut table = String::new();
-        for state in [Server::Down, Server::Inactive, Server::Pending, Server::Active] {
+        for state in [ServerState::Down, ServerState::Inactive, ServerState::Pending, ServerState::Active] {
             for (inactive, active) in [(0, 0), (1, 0), (0, 1), (1, 2)] {
-                let next = |mode, waited| server(state, Members { inactive, active }, mode, 2, waited);
+                let next = |mode, recovery_expired| {
+                    next_server_state(state, AspCounts { inactive, active }, mode, 2, recovery_expired)
+                };
                 table += &format!(
                     "{state:?}, {inactive} inactive, {active} active: {:?}, share {:?}, T(r) over {:?}\n",
                     next(TrafficMode::Override, false),
--- a/signalling/src/office.rs
+++ b/signalling/src/office.rs
@@ -10,9 +10,9 @@
 use crate::cause::{Cause, Location};
 use crate::circuits::{self, Alert, CallRef, Trunk};
 use crate::isup::{self, Body, Message, SetUp};
+use crate::m3ua::asp::{self, Asp};
 use crate::m3ua::gateway::{self, Association, Gateway, Route};
-use crate::m3ua::member::{self, Member};
-use crate::m3ua::Fault;
+use crate::m3ua::ErrorCode;
 use crate::trie::PrefixTrie;
 use crate::{Circuit, Micros};
 
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
-    pub member: member::Config,
+    pub asp: asp::Config,
     pub circuits: circuits::Config,
 }
 
@@ -170,7 +170,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Note {
     #[error("a peer's message is refused: {0}")]
-    Refused(Fault),
+    Refused(ErrorCode),
     #[error("a peer refuses a message of ours, error code {0:#04x}")]
     PeerRefuses(u32),
     #[error("client {0} tells of congestion, level {1}")]
@@ -201,7 +201,7 @@
 pub struct Office {
     gateway: Gateway,
     clients: Vec<Trunk>,
-    servers: Vec<(Member, Trunk)>,
+    servers: Vec<(Asp, Trunk)>,
     /// Our point code, and those of the servers.
     point_code: u32,
     server_codes: Vec<u32>,
@@ -218,7 +218,7 @@
         let callers =
             (0..config.servers.len()).filter(|&server| config.servers[server].circuits.incoming).collect();
         let point_code = config.gateway.point_code;
-        let server_codes: Vec<u32> = config.servers.iter().map(|server| server.member.peer).collect();
+        let server_codes: Vec<u32> = config.servers.iter().map(|server| server.asp.peer_point_code).collect();
         let mut gateway = Gateway::new(config.gateway);
         for &code in &server_codes {
             let route = Route::Unavailable;
@@ -230,7 +230,7 @@
             servers: config
                 .servers
                 .into_iter()
-                .map(|server| (Member::new(server.member), Trunk::new(server.circuits, now)))
+                .map(|server| (Asp::new(server.asp), Trunk::new(server.circuits, now)))
                 .collect(),
             point_code,
             server_codes,
@@ -249,8 +249,7 @@
 
     pub fn next_timeout(&self) -> Option<Micros> {
         let clients = self.clients.iter().filter_map(Trunk::next_timeout);
-        let servers =
-            self.servers.iter().flat_map(|(member, trunk)| [member.next_timeout(), trunk.next_timeout()]);
+        let servers = self.servers.iter().flat_map(|(asp, trunk)| [asp.next_timeout(), trunk.next_timeout()]);
         clients.chain(servers.flatten()).chain(self.gateway.next_timeout()).min()
     }
 
@@ -281,7 +280,7 @@
         &self.clients
     }
 
-    pub fn servers(&self) -> &[(Member, Trunk)] {
+    pub fn servers(&self) -> &[(Asp, Trunk)] {
         &self.servers
     }
 
@@ -294,25 +293,27 @@
         match event {
             Event::ClientOpened(association) => {
                 self.ends.insert(association, End::Client);
-                self.tell_gateway(now, gateway::Event::Opened(association), None);
+                self.handle_gateway_event(now, gateway::Event::Opened(association), None);
             }
             Event::ServerOpened(server, association) => {
                 self.ends.insert(association, End::Server(server));
-                self.tell_member(now, server, member::Event::Opened(association), None);
+                self.handle_asp_event(now, server, asp::Event::Opened(association), None);
             }
             Event::Received(association, bytes) => match self.ends.get(&association) {
                 Some(End::Client) => {
-                    self.tell_gateway(now, gateway::Event::Received(association, bytes), Some(bytes))
+                    self.handle_gateway_event(now, gateway::Event::Received(association, bytes), Some(bytes))
                 }
                 Some(&End::Server(server)) => {
-                    self.tell_member(now, server, member::Event::Received(association, bytes), Some(bytes))
+                    self.handle_asp_event(now, server, asp::Event::Received(association, bytes), Some(bytes))
                 }
                 None => {}
             },
             Event::Closed(association) => match self.ends.remove(&association) {
-                Some(End::Client) => self.tell_gateway(now, gateway::Event::Closed(association), None),
+                Some(End::Client) => {
+                    self.handle_gateway_event(now, gateway::Event::Closed(association), None)
+                }
                 Some(End::Server(server)) => {
-                    self.tell_member(now, server, member::Event::Closed(association), None)
+                    self.handle_asp_event(now, server, asp::Event::Closed(association), None)
                 }
                 None => {}
             },
@@ -332,13 +333,15 @@
                 let release = circuits::Event::Release { call, cause, congestion: None };
                 self.tell_trunk(now, Peer::Server(server), release, None)
             }
-            Event::Probe { server, data } => self.tell_member(now, server, member::Event::Probe(data), None),
+            Event::Probe { server, data } => {
+                self.handle_asp_event(now, server, asp::Event::Probe(data), None)
+            }
             Event::Replaced { server } => {
                 self.tell_trunk(now, Peer::Server(server), circuits::Event::Replaced, None)
             }
             Event::Ourselves { route, level } => {
                 let point_code = self.point_code;
-                self.tell_gateway(now, gateway::Event::Route { point_code, route, level }, None)
+                self.handle_gateway_event(now, gateway::Event::Route { point_code, route, level }, None)
             }
             Event::Block { client, first, last, why, on } => {
                 let event = match on {
@@ -353,9 +356,9 @@
     }
 
     fn timeout(&mut self, now: Micros) {
-        self.tell_gateway(now, gateway::Event::Timeout, None);
+        self.handle_gateway_event(now, gateway::Event::Timeout, None);
         for server in 0..self.servers.len() {
-            self.tell_member(now, server, member::Event::Timeout, None);
+            self.handle_asp_event(now, server, asp::Event::Timeout, None);
             self.tell_trunk(now, Peer::Server(server), circuits::Event::Timeout, None);
         }
         for client in 0..self.clients.len() {
@@ -393,12 +396,12 @@
     }
 
     /// `bytes` are the message that the event is about, to be told with an error.
-    fn tell_gateway(&mut self, now: Micros, event: gateway::Event, bytes: Option<&[u8]>) {
+    fn handle_gateway_event(&mut self, now: Micros, event: gateway::Event, bytes: Option<&[u8]>) {
         self.gateway.handle(now, event);
-        self.gateway_did(now, bytes);
+        self.apply_gateway_effects(now, bytes);
     }
 
-    fn gateway_did(&mut self, now: Micros, bytes: Option<&[u8]>) {
+    fn apply_gateway_effects(&mut self, now: Micros, bytes: Option<&[u8]>) {
         for effect in self.gateway.take_effects() {
             match effect {
                 gateway::Effect::Write(association, bytes) => {
@@ -419,37 +422,39 @@
                     self.tell_trunk(now, Peer::Client(client), circuits::Event::Down, None);
                     self.effects.push(Effect::ClientLost(client));
                 }
-                gateway::Effect::Away { server: client } => self.effects.push(Effect::ClientAway(client)),
-                gateway::Effect::Back { server: client } => self.effects.push(Effect::ClientBack(client)),
+                gateway::Effect::Pending { server: client } => self.effects.push(Effect::ClientAway(client)),
+                gateway::Effect::Recovered { server: client } => {
+                    self.effects.push(Effect::ClientBack(client))
+                }
                 gateway::Effect::Congested { server: client, level } => {
                     self.note(Note::ClientCongested(client, level))
                 }
-                gateway::Effect::Refused(_, fault) => self.note(Note::Refused(fault)),
-                gateway::Effect::PeerRefuses(_, code) => self.note(Note::PeerRefuses(code)),
+                gateway::Effect::ErrorSent(_, error) => self.note(Note::Refused(error)),
+                gateway::Effect::ErrorReceived(_, code) => self.note(Note::PeerRefuses(code)),
                 gateway::Effect::Dropped { circuit, .. } => self.note(Note::Dropped(circuit)),
             }
         }
     }
 
-    fn tell_member(&mut self, now: Micros, server: usize, event: member::Event, bytes: Option<&[u8]>) {
+    fn handle_asp_event(&mut self, now: Micros, server: usize, event: asp::Event, bytes: Option<&[u8]>) {
         self.servers[server].0.handle(now, event);
-        self.member_did(now, server, bytes);
+        self.apply_asp_effects(now, server, bytes);
     }
 
-    fn member_did(&mut self, now: Micros, server: usize, bytes: Option<&[u8]>) {
+    fn apply_asp_effects(&mut self, now: Micros, server: usize, bytes: Option<&[u8]>) {
         for effect in self.servers[server].0.take_effects() {
             match effect {
-                member::Effect::Write(association, bytes) => {
+                asp::Effect::Write(association, bytes) => {
                     self.effects.push(Effect::Write(association, bytes))
                 }
-                member::Effect::Close(association) => {
+                asp::Effect::Close(association) => {
                     self.ends.remove(&association);
                     self.effects.push(Effect::Close(association));
                 }
-                member::Effect::Deliver { association, user } => {
+                asp::Effect::Deliver { association, user } => {
                     self.delivered(now, Peer::Server(server), association, &user, bytes)
                 }
-                member::Effect::Up => {
+                asp::Effect::Up => {
                     self.tell_trunk(now, Peer::Server(server), circuits::Event::Up, None);
                     self.effects.push(Effect::ServerUp(server));
                     if self.calls(server) {
@@ -457,7 +462,7 @@
                     }
                     self.tell_server(now, server, Route::Available, 0);
                 }
-                member::Effect::Lost => {
+                asp::Effect::Lost => {
                     self.tell_trunk(now, Peer::Server(server), circuits::Event::Down, None);
                     self.effects.push(Effect::ServerLost(server));
                     if self.calls(server) {
@@ -465,18 +470,18 @@
                     }
                     self.tell_server(now, server, Route::Unavailable, 0);
                 }
-                member::Effect::Route(route) => {
+                asp::Effect::Route(route) => {
                     self.effects.push(Effect::Route { server, route });
                     self.tell_server(now, server, route, 0);
                 }
-                member::Effect::Congested(level) => {
+                asp::Effect::Congested(level) => {
                     self.effects.push(Effect::Congested { server, level });
                     self.tell_server(now, server, Route::Available, level);
                 }
-                member::Effect::Probed(data) => self.effects.push(Effect::Probed { server, data }),
-                member::Effect::Refused(_, fault) => self.note(Note::Refused(fault)),
-                member::Effect::PeerRefuses(_, code) => self.note(Note::PeerRefuses(code)),
-                member::Effect::Dropped { circuit } => self.note(Note::Dropped(circuit)),
+                asp::Effect::Probed(data) => self.effects.push(Effect::Probed { server, data }),
+                asp::Effect::ErrorSent(_, error) => self.note(Note::Refused(error)),
+                asp::Effect::ErrorReceived(_, code) => self.note(Note::PeerRefuses(code)),
+                asp::Effect::Dropped { circuit } => self.note(Note::Dropped(circuit)),
             }
         }
     }
@@ -484,7 +489,7 @@
     /// What clients that ask for a server's point code are told.
     fn tell_server(&mut self, now: Micros, server: usize, route: Route, level: u8) {
         let point_code = self.server_codes[server];
-        self.tell_gateway(now, gateway::Event::Route { point_code, route, level }, None);
+        self.handle_gateway_event(now, gateway::Event::Route { point_code, route, level }, None);
     }
 
     fn note(&mut self, note: Note) {
@@ -496,18 +501,18 @@
         now: Micros,
         peer: Peer,
         association: Association,
-        fault: Fault,
+        error: ErrorCode,
         bytes: Option<&[u8]>,
     ) {
         let bytes = bytes.unwrap_or_default();
         match peer {
             Peer::Client(_) => {
-                self.gateway.refuse(association, fault, bytes);
-                self.gateway_did(now, None);
+                self.gateway.refuse(association, error, bytes);
+                self.apply_gateway_effects(now, None);
             }
             Peer::Server(server) => {
-                self.servers[server].0.refuse(association, fault, bytes);
-                self.member_did(now, server, None);
+                self.servers[server].0.refuse(association, error, bytes);
+                self.apply_asp_effects(now, server, None);
             }
         }
     }
@@ -529,7 +534,7 @@
                 let cause = Cause::PROTOCOL;
                 return self.tell_trunk(now, peer, circuits::Event::Recall { circuit, cause }, None);
             }
-            Err(_) => return self.refuse(now, peer, association, Fault::Protocol, bytes),
+            Err(_) => return self.refuse(now, peer, association, ErrorCode::Protocol, bytes),
         };
         let calls = match peer {
             Peer::Client(_) => true,
@@ -581,7 +586,7 @@
                         self.gateway.handle(now, gateway::Event::Idle { server, circuit });
                     }
                     Peer::Server(server) => {
-                        self.servers[server].0.handle(now, member::Event::Idle { circuit });
+                        self.servers[server].0.handle(now, asp::Event::Idle { circuit });
                     }
                 },
                 circuits::Effect::Stands { circuit, call } => {
@@ -594,7 +599,7 @@
                 circuits::Effect::Disregarded { kind: isup::kind::IAM, .. } => {
                     // A release would end the call that is on its circuit.
                     if let Some((association, bytes)) = from {
-                        self.refuse(now, peer, association, Fault::Unexpected, bytes);
+                        self.refuse(now, peer, association, ErrorCode::Unexpected, bytes);
                     }
                 }
                 circuits::Effect::Disregarded { .. } => {}
@@ -618,10 +623,10 @@
     fn send(&mut self, now: Micros, peer: Peer, circuit: Circuit, user: &[u8]) {
         match peer {
             Peer::Client(server) => {
-                self.tell_gateway(now, gateway::Event::Send { server, circuit, user }, None)
+                self.handle_gateway_event(now, gateway::Event::Send { server, circuit, user }, None)
             }
             Peer::Server(server) => {
-                self.tell_member(now, server, member::Event::Send { circuit, user }, None)
+                self.handle_asp_event(now, server, asp::Event::Send { circuit, user }, None)
             }
         }
     }
--- a/signalling/tests/conformance.rs
+++ b/signalling/tests/conformance.rs
@@ -7,7 +7,7 @@
 use steprelay_signalling::conformance::{self, Heard, Outcome, Subject, CONTEXT, OURS, PEER};
 use steprelay_signalling::isup::{Blocking, SetUp};
 use steprelay_signalling::m3ua::gateway::{self, Association, Route};
-use steprelay_signalling::m3ua::{self, member, Fault, Kind, TrafficMode};
+use steprelay_signalling::m3ua::{self, asp, ErrorCode, Kind, TrafficMode};
 use steprelay_signalling::office::{Config, Destination, Effect, Event, Office, ServerConfig};
 use steprelay_signalling::trie::PrefixTrie;
 use steprelay_signalling::Micros;
@@ -45,22 +45,22 @@
         point_code,
         routing_context,
         mode: TrafficMode::Override,
-        needed: 1,
+        min_active_asps: 1,
         identifiers: Vec::new(),
-        registration: false,
+        allows_registration: false,
     }
 }
 
 fn config(profile: &str) -> Config {
     let mut first = client(PEER, CONTEXT);
     let mut circuits = circuits::Config::default();
-    let mut beat = 0;
+    let mut heartbeat_interval = 0;
     match profile {
         "identified" => first.identifiers = vec![5, 6],
-        "beats" => beat = SECOND / 2,
-        "loadshare" => (first.mode, first.needed) = (TrafficMode::Loadshare, 2),
+        "beats" => heartbeat_interval = SECOND / 2,
+        "loadshare" => (first.mode, first.min_active_asps) = (TrafficMode::Loadshare, 2),
         "broadcast" => first.mode = TrafficMode::Broadcast,
-        "registering" => first.registration = true,
+        "registering" => first.allows_registration = true,
         "overlap" => circuits.overlap = true,
         "small" => circuits.equipped = Some((1, 30)),
         _ => {}
@@ -72,17 +72,17 @@
     let member = profile.starts_with("member");
     let shared = profile == "member-shared";
     let server = ServerConfig {
-        member: member::Config {
+        asp: asp::Config {
             point_code: OURS,
-            peer: if member { PEER } else { SERVER },
+            peer_point_code: if member { PEER } else { SERVER },
             network: 2,
             routing_context: CONTEXT,
             mode: if shared { TrafficMode::Loadshare } else { TrafficMode::Override },
-            names_mode: shared,
+            sends_mode: shared,
             identifier: (profile == "member-identified").then_some(9),
-            ack: 700_000,
-            tries: 3,
-            audit: if profile == "member-audit" { SECOND } else { 0 },
+            ack_timeout: 700_000,
+            max_attempts: 3,
+            audit_interval: if profile == "member-audit" { SECOND } else { 0 },
         },
         circuits: circuits::Config {
             equipped: Some((1, if ["member-query", "member-reset"].contains(&profile) { 4 } else { 30 })),
@@ -102,12 +102,12 @@
         gateway: gateway::Config {
             point_code: OURS,
             network: 2,
-            recovery: 2 * SECOND,
-            queue: 16,
-            beat,
-            beat_misses: 2,
-            coming_up: 2_500_000,
-            most_of_one: 4,
+            recovery_timeout: 2 * SECOND,
+            queue_capacity: 16,
+            heartbeat_interval,
+            max_missed_heartbeats: 2,
+            asp_up_timeout: 2_500_000,
+            max_asps_per_server: 4,
             servers: clients.clone(),
         },
         clients: clients.iter().map(|_| circuits.clone()).collect(),
@@ -204,7 +204,7 @@
                 m3ua::Split::Broken => {
                     let told = m3ua::message(
                         Kind::Err,
-                        &[(m3ua::tag::ERROR_CODE, &[0, 0, 0, Fault::Protocol as u8])],
+                        &[(m3ua::tag::ERROR_CODE, &[0, 0, 0, ErrorCode::Protocol as u8])],
                     );
                     self.connections[connection].heard.push_back(told);
                     self.connections[connection].closed = true;
--- a/signalling/tests/office.rs
+++ b/signalling/tests/office.rs
@@ -8,7 +8,7 @@
 use steprelay_signalling::circuits::{self, CallRef};
 use steprelay_signalling::isup::SetUp;
 use steprelay_signalling::m3ua::gateway::{self, Association};
-use steprelay_signalling::m3ua::{member, TrafficMode};
+use steprelay_signalling::m3ua::{asp, TrafficMode};
 use steprelay_signalling::office::{Config, Effect, Event, Office, ServerConfig};
 use steprelay_signalling::trie::PrefixTrie;
 use steprelay_signalling::Micros;
@@ -29,22 +29,22 @@
         point_code: CLIENT,
         routing_context: 1,
         mode,
-        needed: 1,
+        min_active_asps: 1,
         identifiers: Vec::new(),
-        registration: false,
+        allows_registration: false,
     };
     let server = ServerConfig {
-        member: member::Config {
+        asp: asp::Config {
             point_code: OURS,
-            peer: SERVER,
+            peer_point_code: SERVER,
             network: 2,
             routing_context: 7,
             mode,
-            names_mode: false,
+            sends_mode: false,
             identifier: None,
-            ack: 700_000,
-            tries: 3,
-            audit: 0,
+            ack_timeout: 700_000,
+            max_attempts: 3,
+            audit_interval: 0,
         },
         circuits: circuits::Config {
             equipped: Some((1, 4)),
@@ -57,12 +57,12 @@
         point_code: OURS,
         network: 2,
         servers: vec![clients],
-        recovery: 2_000_000,
-        queue: 8,
-        beat: 0,
-        beat_misses: 0,
-        coming_up: 2_500_000,
-        most_of_one: SLOTS,
+        recovery_timeout: 2_000_000,
+        queue_capacity: 8,
+        heartbeat_interval: 0,
+        max_missed_heartbeats: 0,
+        asp_up_timeout: 2_500_000,
+        max_asps_per_server: SLOTS,
     };
     let config = Config {
         gateway,
