--- a/agent/src/conformance.rs
+++ b/agent/src/conformance.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use comfy_table::{presets, Table};
-use steprelay_signalling::conformance::{self, BadCase, Case, Heard, Outcome, Subject};
+use steprelay_signalling::conformance::{self, Case, CaseError, Outcome, Received, Subject};
 use steprelay_signalling::isup::{Blocking, Body, Message, Range};
 use steprelay_signalling::m3ua::{self, tag, Kind, ProtocolData, Split};
 use steprelay_signalling::Micros;
@@ -18,7 +18,7 @@
     #[error("conformance: {0}: {1}")]
     Unreachable(SocketAddr, std::io::Error),
     #[error("conformance: {0}")]
-    Case(#[from] BadCase),
+    Case(#[from] CaseError),
     #[error("conformance: {0} cases failed")]
     Failed(usize),
 }
@@ -63,17 +63,17 @@
         let _ = self.stream.write_all(bytes);
     }
 
-    fn hear(&mut self) -> Heard {
+    fn receive(&mut self) -> Received {
         let until = Instant::now() + PROMPT;
         loop {
             match m3ua::split(&self.inbound) {
-                Split::Whole(length) => return Heard::Message(self.inbound.drain(..length).collect()),
-                Split::Broken => return Heard::Message(std::mem::take(&mut self.inbound)),
+                Split::Whole(length) => return Received::Message(self.inbound.drain(..length).collect()),
+                Split::Broken => return Received::Message(std::mem::take(&mut self.inbound)),
                 Split::Partial => {}
             }
             let left = until.saturating_duration_since(Instant::now());
             if self.closed || left.is_zero() {
-                return if self.closed { Heard::Closed } else { Heard::Nothing };
+                return if self.closed { Received::Closed } else { Received::Nothing };
             }
             let mut bytes = [0; 4096];
             let read = self.stream.set_read_timeout(Some(left)).and_then(|()| self.stream.read(&mut bytes));
@@ -92,7 +92,7 @@
     fn clear(&self) -> std::io::Result<()> {
         let mut connection = Connection::open(self.wanted.address)?;
         connection.send(&m3ua::message(Kind::AspUp, &[]));
-        let context = conformance::CONTEXT.to_be_bytes();
+        let context = conformance::ROUTING_CONTEXT.to_be_bytes();
         connection.send(&m3ua::message(Kind::AspActive, &[(tag::ROUTING_CONTEXT, &context)]));
         let all = |why| Body::UnblockGroup(why, Range { more: 7, status: vec![true; 8] });
         let groups = [Blocking::Maintenance, Blocking::Hardware].map(|why| (1, all(why)));
@@ -102,7 +102,7 @@
         });
         for (circuit, body) in resets.chain(groups) {
             let user = Message::new(circuit, body).to_bytes();
-            let (origin, destination) = (conformance::PEER, conformance::OURS);
+            let (origin, destination) = (conformance::TESTER_POINT_CODE, conformance::SUBJECT_POINT_CODE);
             let data = ProtocolData {
                 origin,
                 destination,
@@ -111,18 +111,18 @@
                 selection: 0,
                 user: &user,
             };
-            connection.send(&data.message(conformance::CONTEXT, None).expect("it is short"));
+            connection.send(&data.message(conformance::ROUTING_CONTEXT, None).expect("it is short"));
         }
         connection.send(&m3ua::message(Kind::Beat, &[]));
         loop {
-            match connection.hear() {
-                Heard::Message(bytes) if bytes.get(2..4) == Some(&[3, 6]) => return Ok(()),
-                Heard::Message(bytes) => {
+            match connection.receive() {
+                Received::Message(bytes) if bytes.get(2..4) == Some(&[3, 6]) => return Ok(()),
+                Received::Message(bytes) => {
                     if let Some(answer) = confirmation(&bytes) {
                         connection.send(&answer);
                     }
                 }
-                Heard::Closed | Heard::Nothing => return Ok(()),
+                Received::Closed | Received::Nothing => return Ok(()),
             }
         }
     }
@@ -138,7 +138,7 @@
     }
     let user = Message::new(circuit, Body::ReleaseComplete).to_bytes();
     let data = ProtocolData { origin: data.destination, destination: data.origin, user: &user, ..data };
-    data.message(conformance::CONTEXT, None)
+    data.message(conformance::ROUTING_CONTEXT, None)
 }
 
 impl Subject for Peer {
@@ -163,8 +163,8 @@
         }
     }
 
-    fn hear(&mut self, connection: usize) -> Heard {
-        self.connections.get_mut(connection).map_or(Heard::Closed, Connection::hear)
+    fn receive(&mut self, connection: usize) -> Received {
+        self.connections.get_mut(connection).map_or(Received::Closed, Connection::receive)
     }
 
     fn wait(&mut self, time: Micros) -> Result<(), String> {
@@ -180,7 +180,7 @@
         Err(Outcome::NotApplicable("needs a hand on its call control".into()))
     }
 
-    fn comes_up(&self) -> bool {
+    fn is_asp(&self) -> bool {
         false
     }
 }
@@ -237,7 +237,7 @@
     table.load_preset(presets::NOTHING).set_header(["case", "section", "shows", "outcome", "why"]);
     for (case, outcome) in done {
         let (word, why) = words(outcome);
-        table.add_row([&*case.name, &case.section, &case.shows, word, why]);
+        table.add_row([&*case.name, &case.section, &case.purpose, word, why]);
     }
     let (passed, failed, not) = count(done);
     format!("{table}\n{passed} passed, {failed} failed, {not} not applicable")
@@ -248,7 +248,7 @@
         .iter()
         .map(|(case, outcome)| {
             let (word, why) = words(outcome);
-            serde_json::json!({"case": case.name, "section": case.section, "shows": case.shows,
+            serde_json::json!({"case": case.name, "section": case.section, "shows": case.purpose,
                 "outcome": word, "why": why})
         })
         .collect();
--- a/agent/src/front/m3ua/mod.rs
+++ b/agent/src/front/m3ua/mod.rs
@@ -261,7 +261,7 @@
                 }
                 if refused {
                     // With its process went its circuits, and the next one starts cold.
-                    self.office(Event::Replaced { server: place });
+                    self.office(Event::ServerReplaced { server: place });
                 }
             }
             Told::ToClient(client, message, _unwritten) => self.tell_client(client, message),
@@ -309,16 +309,16 @@
             ToClient::Released { call, cause, .. } => {
                 // A call that stood before this process started is not known here, but its id names its
                 // circuit. One of this process that is not known has been released by the client already.
-                let known = self.handle.office.borrow().knows(client, CallRef(call.0));
+                let known = self.handle.office.borrow().has_call(client, CallRef(call.0));
                 let earlier = BoundCall::of(call).filter(|named| named.start != self.start && !known);
                 if let Some(named) = earlier {
                     let cause = Cause(cause.0);
-                    return self.office(Event::Recall { client, circuit: named.circuit, cause });
+                    return self.office(Event::ReleaseCircuit { client, circuit: named.circuit, cause });
                 }
                 release(call, cause.0, None)
             }
-            ToClient::Draining => Event::Ourselves { route: Route::Restricted, level: 0 },
-            ToClient::Pressure(level) => Event::Ourselves { route: Route::Available, level },
+            ToClient::Draining => Event::LocalState { route: Route::Restricted, level: 0 },
+            ToClient::Pressure(level) => Event::LocalState { route: Route::Available, level },
             // A peer's association is not a call's: it ends with the program.
             ToClient::Passed(_)
             | ToClient::NotPassed(_)
@@ -352,9 +352,11 @@
             ToServer::Probe(call) => Event::Probe { server, data: call.0.to_be_bytes() },
             // Confirming a release is part of this signalling already, and a peer has one association.
             ToServer::Heard(_) | ToServer::Finish => return,
-            ToServer::GiveUp(call) => Event::End { server, call: CallRef(call.0), cause: Cause::NORMAL },
+            ToServer::GiveUp(call) => {
+                Event::ReleaseToServer { server, call: CallRef(call.0), cause: Cause::NORMAL }
+            }
             ToServer::Release(call, cause) => {
-                Event::End { server, call: CallRef(call.0), cause: Cause(cause.0) }
+                Event::ReleaseToServer { server, call: CallRef(call.0), cause: Cause(cause.0) }
             }
         };
         self.office(event);
@@ -403,10 +405,10 @@
                 eprintln!("steprelay: m3ua: client {} is lost", self.handle.config.caller_name(client));
                 self.inputs.push(Input::ClientClosed { client: client_id(client) });
             }
-            Effect::ClientAway(client) => {
+            Effect::ClientPending(client) => {
                 self.inputs.push(Input::ClientAway { client: client_id(client), away: true });
             }
-            Effect::ClientBack(client) => {
+            Effect::ClientRecovered(client) => {
                 self.inputs.push(Input::ClientAway { client: client_id(client), away: false });
             }
             Effect::Offer { client, call, set_up } => self.offer(client, call, set_up),
@@ -426,15 +428,15 @@
                 };
                 self.list(server, state);
             }
-            Effect::Stands { is_client, place, circuit, call } => {
+            Effect::EstablishedCall { is_client, index, circuit, call } => {
                 let config = &self.handle.config;
-                let peer = if is_client { &config.clients[place].name } else { &config.servers[place].name };
+                let peer = if is_client { &config.clients[index].name } else { &config.servers[index].name };
                 if let Some(kept) = &self.kept {
                     kept.put(Record { peer: peer.clone(), is_client, circuit, call });
                 }
             }
-            Effect::Note(note) => {
-                self.handle.shared.unreadable.say(now, &format!("m3ua: {note}"));
+            Effect::Log(event) => {
+                self.handle.shared.unreadable.say(now, &format!("m3ua: {event}"));
             }
             of_link => self.of_link(of_link),
         }
--- a/signalling/src/conformance.rs
+++ b/signalling/src/conformance.rs
@@ -1,30 +1,33 @@
-//! Conformance cases, as data: what a tester sends, and what has to come back (`conformance/*.cases`).
+//! Conformance test cases (`conformance/*.cases`): the messages that the tester sends and expects.
 //!
-//! A line of a file is a case: its name, the section it is drawn from, the state it starts in, what it shows,
-//! and its steps, each in a column of its own. A step is
+//! A line of a file is a case. Its columns are the name, the section of the standard, the initial state, the
+//! test purpose, and then the steps. A step is
 //!
-//! - `> NAME tag=hex ...` or `> call CIRCUIT TYPE hex`: send a message of M3UA, or of ISUP inside DATA;
+//! - `> NAME tag=hex ...` or `> call CIRCUIT TYPE hex`: send an M3UA message, or an ISUP message in DATA;
 //! - `> raw hex`: send these bytes;
-//! - `< NAME tag=hex ...`, `< call CIRCUIT TYPE hex`: this comes next, with at least these parameters, or
-//!   with a body that starts so (`..` is any octet);
-//! - `quiet`: nothing has come but the answer to a heartbeat sent now;
-//! - `closed`: the connection has been ended;
-//! - `wait MS`: time passes;
-//! - `! answer CIRCUIT`, `! refuse CIRCUIT`, `! hold`: what call control does, where the tester has its hand
-//!   on it.
+//! - `< NAME tag=hex ...`, `< call CIRCUIT TYPE hex`: expect this message next, with at least these
+//!   parameters, or with a body that starts with these octets (`..` is any octet);
+//! - `quiet`: send a heartbeat and expect nothing before its acknowledgement;
+//! - `closed`: expect the end of the connection;
+//! - `wait MS`: let time pass;
+//! - `! answer CIRCUIT`, `! refuse CIRCUIT`, `! hold`: an action of call control, where the tester controls
+//!   it.
 //!
-//! `2>` and `2<` are a second connection. What is told of destinations may come in between at any time, and
-//! is passed over where nothing of it is asked for. Lines with `@` set the profile of those that follow.
+//! `2>` and `2<` use a second connection. Network management messages (SSNM) may arrive at any time and are
+//! skipped unless the case expects one. A line `@profile NAME` sets the profile of the cases that follow, and
+//! `@body NAME hex` names the body of an ISUP message.
 
 use std::collections::BTreeMap;
 
 use crate::m3ua::{self, Kind, Message, MessageBuilder, ProtocolData, KINDS};
 use crate::Micros;
 
-/// The point codes and the routing context that cases are written for.
-pub const OURS: u32 = 1001;
-pub const PEER: u32 = 2001;
-pub const CONTEXT: u32 = 1;
+/// The point code of the tested peer in the cases.
+pub const SUBJECT_POINT_CODE: u32 = 1001;
+/// The point code of the tester in the cases.
+pub const TESTER_POINT_CODE: u32 = 2001;
+/// The routing context of the tester in the cases.
+pub const ROUTING_CONTEXT: u32 = 1;
 
 /// The files of the suite, by name.
 pub const SUITE: [(&str, &str); 6] = [
@@ -36,16 +39,16 @@
     ("member", include_str!("../conformance/member.cases")),
 ];
 
-/// What is wrong with a file of cases.
+/// A syntax error in a file of cases.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{file}, line {line}: {why}")]
-pub struct BadCase {
+#[error("{file}, line {line}: {reason}")]
+pub struct CaseError {
     pub file: String,
     pub line: usize,
-    pub why: String,
+    pub reason: String,
 }
 
-/// The state that a case starts in.
+/// The state of the ASP at the start of a case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
     Down,
@@ -53,13 +56,15 @@
     Active,
 }
 
+/// A test case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Case {
     pub name: String,
+    /// The section of the standard that the case is drawn from.
     pub section: String,
     pub start: Start,
-    pub shows: String,
-    /// How the peer has to be configured.
+    pub purpose: String,
+    /// The name of the configuration that the tested peer has to have.
     pub profile: String,
     steps: Vec<(String, Step)>,
 }
@@ -81,7 +86,7 @@
         kind: u8,
         parameters: Vec<(u16, Vec<u8>)>,
     },
-    /// A call message, with what its body starts with.
+    /// An ISUP message and the first octets of its body; `None` is any octet.
     Call {
         circuit: u16,
         kind: u8,
@@ -89,7 +94,7 @@
     },
 }
 
-/// What became of a case.
+/// The outcome of a case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Passed,
@@ -97,42 +102,54 @@
     NotApplicable(String),
 }
 
-/// What comes next on a connection.
+/// What a connection has received next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Received {
     Message(Vec<u8>),
     Closed,
     Nothing,
 }
 
-/// Whatever is tested: the engine in the same process, or a running peer.
+/// The implementation under test: the engine in the same process, or a running peer.
 pub trait Subject {
-    /// Starts anew in this profile; why not, where it cannot.
+    /// Resets the subject to its initial state in this profile.
+    ///
+    /// # Errors
+    /// The reason why the case is not applicable.
     fn reset(&mut self, profile: &str) -> Result<(), String>;
     fn open(&mut self, connection: usize);
     fn send(&mut self, connection: usize, bytes: &[u8]);
-    fn hear(&mut self, connection: usize) -> Heard;
-    /// Lets time pass; why not, where it cannot.
+    fn receive(&mut self, connection: usize) -> Received;
+    /// Lets time pass.
+    ///
+    /// # Errors
+    /// The reason why the case is not applicable.
     fn wait(&mut self, time: Micros) -> Result<(), String>;
-    /// Has call control do something, or asks what it was told; where that fails, what becomes of the case.
-    fn control(&mut self, what: &str) -> Result<(), Outcome>;
-    /// Whether the tester listens, and the subject comes up by itself.
-    fn comes_up(&self) -> bool;
+    /// Performs an action of call control, or checks what call control was notified of.
+    ///
+    /// # Errors
+    /// The outcome of the case.
+    fn control(&mut self, action: &str) -> Result<(), Outcome>;
+    /// Whether the subject is an ASP, which sends ASPUP itself.
+    fn is_asp(&self) -> bool;
 }
 
-/// Reads the whole suite.
-pub fn suite() -> Result<Vec<Case>, BadCase> {
+/// Parses all files of the suite.
+pub fn suite() -> Result<Vec<Case>, CaseError> {
     let files = SUITE.iter().map(|(name, text)| read(name, text));
     Ok(files.collect::<Result<Vec<_>, _>>()?.into_iter().flatten().collect())
 }
 
-/// Reads a file of cases.
-pub fn read(file: &str, text: &str) -> Result<Vec<Case>, BadCase> {
+/// Parses a file of cases.
+///
+/// # Errors
+/// The first line with a syntax error.
+pub fn read(file: &str, text: &str) -> Result<Vec<Case>, CaseError> {
     let mut cases: Vec<Case> = Vec::new();
     let mut profile = String::from("default");
     let mut bodies = BTreeMap::new();
     for (line, text) in (1..).zip(text.lines().map(str::trim)) {
-        let bad = |why: String| BadCase { file: file.into(), line, why };
+        let error = |reason: String| CaseError { file: file.into(), line, reason };
         if text.is_empty() || text.starts_with('#') {
             continue;
         }
@@ -143,37 +160,37 @@
                     let (name, body) = named
                         .trim()
                         .split_once(' ')
-                        .ok_or_else(|| bad("a body has a name and octets".into()))?;
+                        .ok_or_else(|| error("@body needs a name and octets".into()))?;
                     bodies.insert(name.to_string(), body.to_string());
                 }
-                _ => return Err(bad(format!("no directive '{directive}'"))),
+                _ => return Err(error(format!("unknown directive '{directive}'"))),
             }
             continue;
         }
         let columns: Vec<&str> = text.split('|').map(str::trim).collect();
-        let [name, section, start, shows, steps @ ..] = &columns[..] else {
-            return Err(bad("a case has a name, a section, a start, what it shows, and steps".into()));
+        let [name, section, start, purpose, steps @ ..] = &columns[..] else {
+            return Err(error("a case needs a name, a section, a start, a purpose and steps".into()));
         };
         let start = match *start {
             "down" => Start::Down,
             "up" => Start::Up,
             "active" => Start::Active,
-            other => return Err(bad(format!("no start '{other}'"))),
+            other => return Err(error(format!("unknown start '{other}'"))),
         };
         if cases.iter().any(|case| case.name == *name) {
-            return Err(bad(format!("'{name}' is there already")));
+            return Err(error(format!("duplicate case '{name}'")));
         }
-        let steps = steps.iter().map(|text| Ok((text.to_string(), step(text, &bodies)?)));
-        let steps: Vec<_> = steps.collect::<Result<_, String>>().map_err(bad)?;
+        let steps = steps.iter().map(|text| Ok((text.to_string(), parse_step(text, &bodies)?)));
+        let steps: Vec<_> = steps.collect::<Result<_, String>>().map_err(error)?;
         if !steps.iter().any(|(_, step)| matches!(step, Step::Expect(..) | Step::Quiet(_) | Step::Closed(_)))
         {
-            return Err(bad("a case without anything to expect shows nothing".into()));
+            return Err(error("a case needs a step that expects something".into()));
         }
         cases.push(Case {
             name: name.to_string(),
             section: section.to_string(),
             start,
-            shows: shows.to_string(),
+            purpose: purpose.to_string(),
             profile: profile.clone(),
             steps,
         });
@@ -181,7 +198,7 @@
     Ok(cases)
 }
 
-fn step(text: &str, bodies: &BTreeMap<String, String>) -> Result<Step, String> {
+fn parse_step(text: &str, bodies: &BTreeMap<String, String>) -> Result<Step, String> {
     let (connection, text) = match text.strip_prefix("2") {
         Some(rest) if rest.starts_with(['>', '<', ' ']) => (1, rest.trim()),
         _ => (0, text),
@@ -189,24 +206,24 @@
     if let Some(rest) = text.strip_prefix('>') {
         let rest = rest.trim();
         if let Some(bytes) = rest.strip_prefix("raw ") {
-            return Ok(Step::Send(connection, octets(bytes)?));
+            return Ok(Step::Send(connection, parse_octets(bytes)?));
         }
         if let Some(call) = rest.strip_prefix("call ") {
-            let (circuit, kind, body) = call_step(call, bodies)?;
+            let (circuit, kind, body) = parse_call_message(call, bodies)?;
             let mut user = circuit.to_le_bytes().to_vec();
             user.push(kind);
             user.extend(body.iter().map(|octet| octet.unwrap_or_default()));
             let data = ProtocolData {
-                origin: PEER,
-                destination: OURS,
+                origin: TESTER_POINT_CODE,
+                destination: SUBJECT_POINT_CODE,
                 service: m3ua::ISUP,
                 network: 2,
                 selection: circuit as u8 & 0x0f,
                 user: &user,
             };
-            return Ok(Step::Send(connection, data.message(CONTEXT, None).ok_or("too long")?));
+            return Ok(Step::Send(connection, data.message(ROUTING_CONTEXT, None).ok_or("too long")?));
         }
-        let (kind, parameters) = message_step(rest)?;
+        let (kind, parameters) = parse_m3ua_message(rest)?;
         let builder = parameters
             .iter()
             .fold(MessageBuilder::new(kind), |builder, (tag, value)| builder.parameter(*tag, value));
@@ -215,48 +232,47 @@
     if let Some(rest) = text.strip_prefix('<') {
         let rest = rest.trim();
         if let Some(call) = rest.strip_prefix("call ") {
-            let (circuit, kind, body) = call_step(call, bodies)?;
+            let (circuit, kind, body) = parse_call_message(call, bodies)?;
             return Ok(Step::Expect(connection, Expected::Call { circuit, kind, body }));
         }
-        let (kind, parameters) = message_step(rest)?;
+        let (kind, parameters) = parse_m3ua_message(rest)?;
         let &(_, class, kind) =
             KINDS.iter().find(|known| known.0 == kind).expect("every kind is in the table");
         return Ok(Step::Expect(connection, Expected::Message { class, kind, parameters }));
     }
-    if let Some(what) = text.strip_prefix('!') {
-        return Ok(Step::Control(what.trim().into()));
+    if let Some(action) = text.strip_prefix('!') {
+        return Ok(Step::Control(action.trim().into()));
     }
     match text.split_once(' ').unwrap_or((text, "")) {
         ("quiet", "") => Ok(Step::Quiet(connection)),
         ("closed", "") => Ok(Step::Closed(connection)),
         ("wait", ms) => {
-            ms.parse().map(|ms: Micros| Step::Wait(ms * 1000)).map_err(|_| format!("no time '{ms}'"))
+            ms.parse().map(|ms: Micros| Step::Wait(ms * 1000)).map_err(|_| format!("invalid time '{ms}'"))
         }
-        _ => Err(format!("no step '{text}'")),
+        _ => Err(format!("unknown step '{text}'")),
     }
 }
 
-type CallStep = (u16, u8, Vec<Option<u8>>);
+type CallMessage = (u16, u8, Vec<Option<u8>>);
 
-fn call_step(text: &str, bodies: &BTreeMap<String, String>) -> Result<CallStep, String> {
+fn parse_call_message(text: &str, bodies: &BTreeMap<String, String>) -> Result<CallMessage, String> {
     let mut words = text.split_whitespace();
-    let circuit =
-        words.next().and_then(|word| word.parse().ok()).ok_or("a call message names its circuit")?;
-    let kind = words.next().ok_or("a call message has a type")?;
-    let kind = call_kind(kind).ok_or_else(|| format!("no call message '{kind}'"))?;
+    let circuit = words.next().and_then(|word| word.parse().ok()).ok_or("a call message needs a circuit")?;
+    let kind = words.next().ok_or("a call message needs a type")?;
+    let kind = call_message_type(kind).ok_or_else(|| format!("unknown call message '{kind}'"))?;
     let mut body = Vec::new();
     for word in words {
         let octets = match word.strip_prefix('@') {
-            Some(name) => bodies.get(name).ok_or_else(|| format!("no body '{name}'"))?,
+            Some(name) => bodies.get(name).ok_or_else(|| format!("unknown body '{name}'"))?,
             None => word,
         };
-        body.extend(masked(octets)?);
+        body.extend(parse_masked_octets(octets)?);
     }
     Ok((circuit, kind, body))
 }
 
-/// Call messages by name.
-const CALL_KINDS: [(&str, u8); 32] = [
+/// ISUP message types by name.
+const CALL_MESSAGE_TYPES: [(&str, u8); 32] = [
     ("IAM", 0x01),
     ("SAM", 0x02),
     ("INR", 0x03),
@@ -291,13 +307,14 @@
     ("SGM", 0x38),
 ];
 
-fn call_kind(name: &str) -> Option<u8> {
-    let known = CALL_KINDS.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind);
+/// The type of an ISUP message, from its name or from two hexadecimal digits.
+fn call_message_type(name: &str) -> Option<u8> {
+    let known = CALL_MESSAGE_TYPES.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind);
     known.or_else(|| u8::from_str_radix(name, 16).ok().filter(|_| name.len() == 2))
 }
 
-/// M3UA messages by name.
-fn kind(name: &str) -> Option<Kind> {
+/// The kind of an M3UA message, from its name.
+fn message_kind(name: &str) -> Option<Kind> {
     const NAMES: [(&str, Kind); 23] = [
         ("ERR", Kind::Err),
         ("NTFY", Kind::Ntfy),
@@ -326,7 +343,7 @@
     NAMES.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind)
 }
 
-/// Parameters by the short names that cases use; others are named by their tags.
+/// The short names of parameters in cases; any other parameter is given by its tag in hexadecimal.
 const TAGS: [(&str, u16); 8] = [
     ("rc", m3ua::tag::ROUTING_CONTEXT),
     ("hb", m3ua::tag::HEARTBEAT_DATA),
@@ -338,64 +355,65 @@
     ("level", m3ua::tag::CONGESTION_INDICATIONS),
 ];
 
-type MessageStep = (Kind, Vec<(u16, Vec<u8>)>);
+type M3uaMessage = (Kind, Vec<(u16, Vec<u8>)>);
 
-fn message_step(text: &str) -> Result<MessageStep, String> {
+fn parse_m3ua_message(text: &str) -> Result<M3uaMessage, String> {
     let mut words = text.split_whitespace();
     let name = words.next().unwrap_or_default();
-    let kind = kind(name).ok_or_else(|| format!("no message '{name}'"))?;
+    let kind = message_kind(name).ok_or_else(|| format!("unknown message '{name}'"))?;
     let parameters = words.map(|word| {
-        let (tag, value) = word.split_once('=').ok_or_else(|| format!("no parameter '{word}'"))?;
+        let (tag, value) = word.split_once('=').ok_or_else(|| format!("invalid parameter '{word}'"))?;
         let named = TAGS.iter().find(|(known, _)| *known == tag);
         let number = |value: &str| value.parse::<u32>().map(u32::to_be_bytes);
         match named {
-            // Numbers, one after the other, in decimal.
+            // A list of decimal numbers, separated by commas.
             Some((_, tag)) if *tag != m3ua::tag::HEARTBEAT_DATA => {
                 let numbers: Result<Vec<_>, _> = value.split(',').map(number).collect();
-                Ok((*tag, numbers.map_err(|_| format!("no number '{value}'"))?.concat()))
+                Ok((*tag, numbers.map_err(|_| format!("invalid number '{value}'"))?.concat()))
             }
-            Some((_, tag)) => Ok((*tag, octets(value)?)),
+            Some((_, tag)) => Ok((*tag, parse_octets(value)?)),
             None => {
-                let tag = u16::from_str_radix(tag, 16).map_err(|_| format!("no parameter '{tag}'"))?;
-                Ok((tag, octets(value)?))
+                let tag = u16::from_str_radix(tag, 16).map_err(|_| format!("unknown parameter '{tag}'"))?;
+                Ok((tag, parse_octets(value)?))
             }
         }
     });
     Ok((kind, parameters.collect::<Result<_, String>>()?))
 }
 
-fn masked(text: &str) -> Result<Vec<Option<u8>>, String> {
+/// Parses hexadecimal octets; `None` stands for `..`, any octet.
+fn parse_masked_octets(text: &str) -> Result<Vec<Option<u8>>, String> {
     if !text.is_ascii() || !text.len().is_multiple_of(2) {
-        return Err(format!("no octets '{text}'"));
+        return Err(format!("invalid octets '{text}'"));
     }
     let pairs = (0..text.len()).step_by(2).map(|at| &text[at..at + 2]);
     pairs
         .map(|pair| match pair {
             ".." => Ok(None),
-            pair => u8::from_str_radix(pair, 16).map(Some).map_err(|_| format!("no octet '{pair}'")),
+            pair => u8::from_str_radix(pair, 16).map(Some).map_err(|_| format!("invalid octet '{pair}'")),
         })
         .collect()
 }
 
-fn octets(text: &str) -> Result<Vec<u8>, String> {
-    let masked = masked(&text.split_whitespace().collect::<String>())?;
-    masked.into_iter().map(|octet| octet.ok_or_else(|| "any octet can't be sent".to_string())).collect()
+fn parse_octets(text: &str) -> Result<Vec<u8>, String> {
+    let masked = parse_masked_octets(&text.split_whitespace().collect::<String>())?;
+    masked.into_iter().map(|octet| octet.ok_or_else(|| "'..' cannot be sent".to_string())).collect()
 }
 
-/// The data of the heartbeat that shows that nothing else has come.
+/// The heartbeat data of the `quiet` step.
 const QUIET: &[u8] = b"is it quiet?";
 
 /// Runs one case.
 pub fn run(case: &Case, subject: &mut dyn Subject) -> Outcome {
-    if let Err(why) = subject.reset(&case.profile) {
-        return Outcome::NotApplicable(why);
+    if let Err(reason) = subject.reset(&case.profile) {
+        return Outcome::NotApplicable(reason);
     }
-    steps(case, subject).err().unwrap_or(Outcome::Passed)
+    run_steps(case, subject).err().unwrap_or(Outcome::Passed)
 }
 
-fn steps(case: &Case, subject: &mut dyn Subject) -> Result<(), Outcome> {
+fn run_steps(case: &Case, subject: &mut dyn Subject) -> Result<(), Outcome> {
     subject.open(0);
-    let up: &[&str] = match (subject.comes_up(), case.start) {
+    let to_start: &[&str] = match (subject.is_asp(), case.start) {
         (_, Start::Down) => &[],
         (false, Start::Up) => &["> ASPUP", "< ASPUP-ACK"],
         (false, Start::Active) => {
@@ -405,11 +423,13 @@
         (true, Start::Active) => &["< ASPUP", "> ASPUP-ACK", "< ASPAC", "> ASPAC-ACK rc=1"],
     };
     let none = BTreeMap::new();
-    let prelude: Vec<(String, Step)> =
-        up.iter().map(|text| (format!("to start: {text}"), step(text, &none).expect("it is good"))).collect();
+    let prelude: Vec<(String, Step)> = to_start
+        .iter()
+        .map(|text| (format!("to start: {text}"), parse_step(text, &none).expect("the prelude is valid")))
+        .collect();
     let mut open = 1;
     for (text, step) in prelude.iter().chain(&case.steps) {
-        let failed = |why: String| Outcome::Failed(format!("{text}: {why}"));
+        let failed = |reason: String| Outcome::Failed(format!("{text}: {reason}"));
         if let Step::Send(connection, _) | Step::Expect(connection, _) | Step::Quiet(connection) = step {
             while open <= *connection {
                 subject.open(open);
@@ -419,33 +439,38 @@
         match step {
             Step::Send(connection, bytes) => subject.send(*connection, bytes),
             Step::Expect(connection, expected) => {
-                let heard = next(subject, *connection, expected.class());
-                expected.fits(&heard).map_err(failed)?;
+                let received = receive_next(subject, *connection, expected.class());
+                expected.check(&received).map_err(failed)?;
             }
             Step::Quiet(connection) => {
                 let beat = m3ua::message(Kind::Beat, &[(m3ua::tag::HEARTBEAT_DATA, QUIET)]);
                 subject.send(*connection, &beat);
                 let parameters = vec![(m3ua::tag::HEARTBEAT_DATA, QUIET.to_vec())];
                 let expected = Expected::Message { class: 3, kind: 6, parameters };
-                expected.fits(&next(subject, *connection, 3)).map_err(failed)?;
+                expected.check(&receive_next(subject, *connection, 3)).map_err(failed)?;
             }
-            Step::Closed(connection) => match next(subject, *connection, 0xff) {
-                Heard::Closed => {}
-                heard => return Err(failed(format!("not closed, but {}", shown(&heard)))),
+            Step::Closed(connection) => match receive_next(subject, *connection, 0xff) {
+                Received::Closed => {}
+                received => {
+                    return Err(failed(format!(
+                        "expected the end of the connection, got {}",
+                        describe(&received)
+                    )))
+                }
             },
             Step::Wait(time) => subject.wait(*time).map_err(Outcome::NotApplicable)?,
-            Step::Control(what) => subject.control(what)?,
+            Step::Control(action) => subject.control(action)?,
         }
     }
     Ok(())
 }
 
-/// The next message; what is told of destinations is passed over where another class is expected.
-fn next(subject: &mut dyn Subject, connection: usize, class: u8) -> Heard {
+/// Receives the next message; SSNM messages are skipped unless their class is expected.
+fn receive_next(subject: &mut dyn Subject, connection: usize, class: u8) -> Received {
     loop {
-        match subject.hear(connection) {
-            Heard::Message(bytes) if bytes.get(2) == Some(&2) && class != 2 => {}
-            heard => return heard,
+        match subject.receive(connection) {
+            Received::Message(bytes) if bytes.get(2) == Some(&2) && class != 2 => {}
+            received => return received,
         }
     }
 }
@@ -458,9 +483,9 @@
         }
     }
 
-    fn fits(&self, heard: &Heard) -> Result<(), String> {
-        let Heard::Message(bytes) = heard else { return Err(format!("got {}", shown(heard))) };
-        let got = || format!("got {}", shown(heard));
+    fn check(&self, received: &Received) -> Result<(), String> {
+        let Received::Message(bytes) = received else { return Err(format!("got {}", describe(received))) };
+        let got = || format!("got {}", describe(received));
         let message = Message::read(bytes).map_err(|fault| format!("{}: {fault}", got()))?;
         match self {
             Expected::Message { class, kind, parameters } => {
@@ -479,22 +504,22 @@
                 let data = ProtocolData::read(data).map_err(|fault| format!("{}: {fault}", got()))?;
                 let head = [circuit.to_le_bytes()[0], circuit.to_le_bytes()[1], *kind];
                 let rest = data.user.strip_prefix(&head).ok_or_else(got)?;
-                let same = rest.len() >= body.len()
+                let is_match = rest.len() >= body.len()
                     && body
                         .iter()
                         .zip(rest)
-                        .all(|(wanted, octet)| wanted.is_none_or(|wanted| wanted == *octet));
-                same.then_some(()).ok_or_else(got)
+                        .all(|(expected, octet)| expected.is_none_or(|expected| expected == *octet));
+                is_match.then_some(()).ok_or_else(got)
             }
         }
     }
 }
 
-fn shown(heard: &Heard) -> String {
-    match heard {
-        Heard::Closed => "the end of the connection".into(),
-        Heard::Nothing => "nothing".into(),
-        Heard::Message(bytes) => {
+fn describe(received: &Received) -> String {
+    match received {
+        Received::Closed => "the end of the connection".into(),
+        Received::Nothing => "nothing".into(),
+        Received::Message(bytes) => {
             let name = bytes.get(2..4).and_then(|head| {
                 let known = KINDS.iter().find(|known| [known.1, known.2] == head);
                 known.map(|known| format!("{:?}", known.0))
--- a/signalling/src/office.rs
+++ b/signalling/src/office.rs
@@ -1,9 +1,10 @@
-//! The whole of the signalling as calls see it: clients behind our gateway, servers behind theirs, and the
-//! circuits of each.
+//! The complete signalling engine of the call agent, an office (exchange) in the terms of ISUP: the gateway
+//! towards clients, the ASPs towards servers, and the circuits of every peer.
 //!
-//! Whoever uses it hands in what comes on associations and what is wanted for calls, and carries out the
-//! effects: bytes for associations, and calls that come, stand and end. A client is named by its place; a
-//! server whose circuits both sides seize has a place among the clients too, behind all of these.
+//! The caller of [`Office`] passes in the bytes of associations and the requests of call control, and carries
+//! out the effects: bytes for associations, and calls that are offered, answered and ended. A client is
+//! identified by its index. A server that also makes calls, on circuits that both sides seize, has a client
+//! index too, after those of all clients.
 
 use std::collections::BTreeMap;
 
@@ -16,106 +17,118 @@
 use crate::trie::PrefixTrie;
 use crate::{Circuit, Micros};
 
-/// Where calls to a prefix go first, and how many digits their numbers have at least.
+/// The route of calls to a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Destination {
+    /// The number of the server of first choice.
     pub number: u32,
+    /// The minimum length of a complete called number.
     pub digits: usize,
 }
 
+/// The configuration of a server: its ASP and its circuits.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
     pub asp: asp::Config,
     pub circuits: circuits::Config,
 }
 
+/// The configuration of the office.
 #[derive(Debug)]
 pub struct Config {
     pub gateway: gateway::Config,
-    /// The circuits of each of the gateway's servers, which are our clients.
+    /// The circuits of each client. A client is an application server of the gateway, with the same index.
     pub clients: Vec<circuits::Config>,
     pub servers: Vec<ServerConfig>,
     pub destinations: PrefixTrie<Destination>,
 }
 
+/// An input of the office.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// A client has connected, or a server was.
+    /// A client has connected.
     ClientOpened(Association),
+    /// A connection to a server is open.
     ServerOpened(usize, Association),
     Received(Association, &'a [u8]),
     Closed(Association),
-    /// For calls of clients.
+    /// Answers a client's call.
     Answer {
         client: usize,
         call: CallRef,
         description: String,
     },
+    /// Releases or refuses a client's call, with an automatic congestion level where there is one.
     Release {
         client: usize,
         call: CallRef,
         cause: Cause,
         congestion: Option<u8>,
     },
-    /// The same for a call of before our start, whose circuit its id tells.
-    Recall {
+    /// Releases a client's call that was made before this process started; its call id names the circuit.
+    ReleaseCircuit {
         client: usize,
         circuit: Circuit,
         cause: Cause,
     },
-    /// For calls to servers.
+    /// Sets up a call to a server.
     SetUp {
         server: usize,
         call: CallRef,
         set_up: SetUp,
     },
-    End {
+    /// Releases a call to a server.
+    ReleaseToServer {
         server: usize,
         call: CallRef,
         cause: Cause,
     },
+    /// Probes a server with this heartbeat data.
     Probe {
         server: usize,
         data: [u8; 8],
     },
-    /// A server's process was found gone.
-    Replaced {
+    /// The process of a server has ended: all its circuits are idle.
+    ServerReplaced {
         server: usize,
     },
-    /// How we are: what clients are told of our point code.
-    Ourselves {
+    /// The availability and congestion level of the local point code, which clients are notified of.
+    LocalState {
         route: Route,
         level: u8,
     },
-    /// Circuits are blocked or unblocked by operators.
+    /// An operator blocks or unblocks circuits of a client.
     Block {
         client: usize,
         first: Circuit,
         last: Circuit,
-        why: isup::Blocking,
-        on: bool,
+        reason: isup::Blocking,
+        is_blocked: bool,
     },
+    /// Queries the states of a client's circuits.
     Audit {
         client: usize,
     },
     Timeout,
 }
 
+/// An output of the office.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Write(Association, Vec<u8>),
     Close(Association),
     ClientUp(usize),
     ClientLost(usize),
-    /// A client can be told nothing for now, until it is back or lost.
-    ClientAway(usize),
-    ClientBack(usize),
+    /// A client has no active ASP: messages to it are queued until it recovers or is lost.
+    ClientPending(usize),
+    ClientRecovered(usize),
+    /// A client has set up a call.
     Offer {
         client: usize,
         call: CallRef,
         set_up: SetUp,
     },
-    /// A client has given a call up or released it.
+    /// A client has abandoned or released a call.
     Abandoned {
         client: usize,
         call: CallRef,
@@ -131,91 +144,98 @@
         call: CallRef,
         description: String,
     },
+    /// A server has refused or released a call, or it has failed.
     Ended {
         server: usize,
         call: CallRef,
-        /// Whether it had stood.
+        /// Whether the call was established.
         stood: bool,
         cause: Cause,
         location: Location,
         congestion: Option<u8>,
     },
+    /// No circuit to the server was available: the set-up was not sent.
     NoCircuit {
         server: usize,
         call: CallRef,
     },
+    /// The reachability of a server has changed.
     Route {
         server: usize,
         route: Route,
     },
+    /// A server has reported its congestion level, 0 to 3.
     Congested {
         server: usize,
         level: u8,
     },
+    /// A server has answered a probe.
     Probed {
         server: usize,
         data: [u8; 8],
     },
-    /// A call stands on a circuit of a client or a server, or stands there no more.
-    Stands {
+    /// The established call on a circuit of a client or a server; `None` once there is none.
+    EstablishedCall {
         is_client: bool,
-        place: usize,
+        index: usize,
         circuit: Circuit,
         call: Option<CallRef>,
     },
-    Note(Note),
+    Log(LogEvent),
 }
 
-/// What operators may read in the log.
+/// An event for the operator's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Note {
-    #[error("a peer's message is refused: {0}")]
-    Refused(ErrorCode),
-    #[error("a peer refuses a message of ours, error code {0:#04x}")]
-    PeerRefuses(u32),
-    #[error("client {0} tells of congestion, level {1}")]
+pub enum LogEvent {
+    #[error("sent ERR in reply to a peer's message: {0}")]
+    ErrorSent(ErrorCode),
+    #[error("received ERR from a peer, error code {0:#04x}")]
+    ErrorReceived(u32),
+    #[error("client {0} reports congestion level {1}")]
     ClientCongested(usize, u8),
     #[error("circuit {0}: {1}")]
     Circuit(Circuit, Alert),
-    #[error("a message for circuit {0} could not be sent")]
+    #[error("a message for circuit {0} was dropped")]
     Dropped(Circuit),
 }
 
-/// Whose an association is.
+/// The kind of peer at the other end of an association.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
+enum PeerKind {
     Client,
     Server(usize),
 }
 
-/// Whose circuits.
+/// A peer with circuits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Peer {
     Client(usize),
     Server(usize),
 }
 
-/// Gives a call that comes on a client's circuit its name.
-type Namer = Box<dyn FnMut(usize, Circuit) -> CallRef>;
+/// Allocates the reference of a new call on a client's circuit, from the client's index and the circuit.
+type CallRefAllocator = Box<dyn FnMut(usize, Circuit) -> CallRef>;
 
+/// The gateway, the ASPs and the circuits of all peers.
 pub struct Office {
     gateway: Gateway,
     clients: Vec<Trunk>,
     servers: Vec<(Asp, Trunk)>,
-    /// Our point code, and those of the servers.
+    /// The local point code.
     point_code: u32,
+    /// The point code of each server.
     server_codes: Vec<u32>,
-    /// The servers that call, behind the clients.
-    callers: Vec<usize>,
-    ends: BTreeMap<Association, End>,
+    /// The servers that make calls; their client indices follow those of the clients.
+    calling_servers: Vec<usize>,
+    associations: BTreeMap<Association, PeerKind>,
     destinations: PrefixTrie<Destination>,
-    name: Namer,
+    allocate_call_ref: CallRefAllocator,
     effects: Vec<Effect>,
 }
 
 impl Office {
-    pub fn new(config: Config, name: Namer, now: Micros) -> Self {
-        let callers =
+    pub fn new(config: Config, allocate_call_ref: CallRefAllocator, now: Micros) -> Self {
+        let calling_servers =
             (0..config.servers.len()).filter(|&server| config.servers[server].circuits.incoming).collect();
         let point_code = config.gateway.point_code;
         let server_codes: Vec<u32> = config.servers.iter().map(|server| server.asp.peer_point_code).collect();
@@ -234,15 +254,15 @@
                 .collect(),
             point_code,
             server_codes,
-            callers,
-            ends: BTreeMap::new(),
+            calling_servers,
+            associations: BTreeMap::new(),
             destinations: config.destinations,
-            name,
+            allocate_call_ref,
             effects: Vec::new(),
         }
     }
 
-    /// What has to be done since it was last asked.
+    /// Returns the effects that have accumulated since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
@@ -253,18 +273,25 @@
         clients.chain(servers.flatten()).chain(self.gateway.next_timeout()).min()
     }
 
-    /// Takes up a call that stood before our start, on a circuit of a client or of a server; `theirs` tells
-    /// that the peer made it.
-    pub fn restore(&mut self, is_client: bool, place: usize, circuit: Circuit, call: CallRef, theirs: bool) {
+    /// Restores a call that was established before this process started, on a circuit of a client or a
+    /// server. `is_incoming` says that the peer made the call.
+    pub fn restore(
+        &mut self,
+        is_client: bool,
+        index: usize,
+        circuit: Circuit,
+        call: CallRef,
+        is_incoming: bool,
+    ) {
         match is_client {
-            true => self.clients[place].restore(circuit, call, theirs),
-            false => self.servers[place].1.restore(circuit, call, theirs),
+            true => self.clients[index].restore(circuit, call, is_incoming),
+            false => self.servers[index].1.restore(circuit, call, is_incoming),
         }
     }
 
-    /// Whether the circuits of a client's place have this call.
-    pub fn knows(&self, client: usize, call: CallRef) -> bool {
-        let trunk = match self.caller(client) {
+    /// Whether a circuit of a client index carries this call.
+    pub fn has_call(&self, client: usize, call: CallRef) -> bool {
+        let trunk = match self.calling_peer(client) {
             Some(Peer::Client(client)) => &self.clients[client],
             Some(Peer::Server(server)) => &self.servers[server].1,
             None => return false,
@@ -284,7 +311,7 @@
         &self.servers
     }
 
-    /// The server of first choice for a called number.
+    /// The number of the server of first choice for a called number.
     pub fn first_choice(&self, number: &str) -> Option<u32> {
         self.destinations.longest(number).map(|destination| destination.number)
     }
@@ -292,65 +319,68 @@
     pub fn handle(&mut self, now: Micros, event: Event) {
         match event {
             Event::ClientOpened(association) => {
-                self.ends.insert(association, End::Client);
+                self.associations.insert(association, PeerKind::Client);
                 self.handle_gateway_event(now, gateway::Event::Opened(association), None);
             }
             Event::ServerOpened(server, association) => {
-                self.ends.insert(association, End::Server(server));
+                self.associations.insert(association, PeerKind::Server(server));
                 self.handle_asp_event(now, server, asp::Event::Opened(association), None);
             }
-            Event::Received(association, bytes) => match self.ends.get(&association) {
-                Some(End::Client) => {
+            Event::Received(association, bytes) => match self.associations.get(&association) {
+                Some(PeerKind::Client) => {
                     self.handle_gateway_event(now, gateway::Event::Received(association, bytes), Some(bytes))
                 }
-                Some(&End::Server(server)) => {
+                Some(&PeerKind::Server(server)) => {
                     self.handle_asp_event(now, server, asp::Event::Received(association, bytes), Some(bytes))
                 }
                 None => {}
             },
-            Event::Closed(association) => match self.ends.remove(&association) {
-                Some(End::Client) => {
+            Event::Closed(association) => match self.associations.remove(&association) {
+                Some(PeerKind::Client) => {
                     self.handle_gateway_event(now, gateway::Event::Closed(association), None)
                 }
-                Some(End::Server(server)) => {
+                Some(PeerKind::Server(server)) => {
                     self.handle_asp_event(now, server, asp::Event::Closed(association), None)
                 }
                 None => {}
             },
             Event::Answer { client, call, description } => {
-                self.tell_caller(now, client, circuits::Event::Answer { call, description })
+                self.handle_caller_event(now, client, circuits::Event::Answer { call, description })
             }
             Event::Release { client, call, cause, congestion } => {
-                self.tell_caller(now, client, circuits::Event::Release { call, cause, congestion })
-            }
-            Event::Recall { client, circuit, cause } => {
-                self.tell_caller(now, client, circuits::Event::Recall { circuit, cause })
+                self.handle_caller_event(now, client, circuits::Event::Release { call, cause, congestion })
             }
-            Event::SetUp { server, call, set_up } => {
-                self.tell_trunk(now, Peer::Server(server), circuits::Event::SetUp { call, set_up }, None)
+            Event::ReleaseCircuit { client, circuit, cause } => {
+                self.handle_caller_event(now, client, circuits::Event::Recall { circuit, cause })
             }
-            Event::End { server, call, cause } => {
+            Event::SetUp { server, call, set_up } => self.handle_trunk_event(
+                now,
+                Peer::Server(server),
+                circuits::Event::SetUp { call, set_up },
+                None,
+            ),
+            Event::ReleaseToServer { server, call, cause } => {
                 let release = circuits::Event::Release { call, cause, congestion: None };
-                self.tell_trunk(now, Peer::Server(server), release, None)
+                self.handle_trunk_event(now, Peer::Server(server), release, None)
             }
             Event::Probe { server, data } => {
                 self.handle_asp_event(now, server, asp::Event::Probe(data), None)
             }
-            Event::Replaced { server } => {
-                self.tell_trunk(now, Peer::Server(server), circuits::Event::Replaced, None)
+            Event::ServerReplaced { server } => {
+                self.handle_trunk_event(now, Peer::Server(server), circuits::Event::Replaced, None)
             }
-            Event::Ourselves { route, level } => {
+            Event::LocalState { route, level } => {
                 let point_code = self.point_code;
                 self.handle_gateway_event(now, gateway::Event::Route { point_code, route, level }, None)
             }
-            Event::Block { client, first, last, why, on } => {
-                let event = match on {
-                    true => circuits::Event::Block(first, last, why),
-                    false => circuits::Event::Unblock(first, last, why),
+            Event::Block { client, first, last, reason, is_blocked } => {
+                let event = match is_blocked {
+                    true => circuits::Event::Block(first, last, reason),
+                    false => circuits::Event::Unblock(first, last, reason),
                 };
-                self.tell_caller(now, client, event)
+                self.handle_caller_event(now, client, event)
             }
-            Event::Audit { client } => self.tell_caller(now, client, circuits::Event::Audit),
+            Event::Audit { client } => self.handle_caller_event(now, client, circuits::Event::Audit),
             Event::Timeout => self.timeout(now),
         }
     }
@@ -359,43 +389,43 @@
         self.handle_gateway_event(now, gateway::Event::Timeout, None);
         for server in 0..self.servers.len() {
             self.handle_asp_event(now, server, asp::Event::Timeout, None);
-            self.tell_trunk(now, Peer::Server(server), circuits::Event::Timeout, None);
+            self.handle_trunk_event(now, Peer::Server(server), circuits::Event::Timeout, None);
         }
         for client in 0..self.clients.len() {
-            self.tell_trunk(now, Peer::Client(client), circuits::Event::Timeout, None);
+            self.handle_trunk_event(now, Peer::Client(client), circuits::Event::Timeout, None);
         }
     }
 
-    /// Whose circuits a client's place means.
-    fn caller(&self, client: usize) -> Option<Peer> {
+    /// The peer of a client index.
+    fn calling_peer(&self, client: usize) -> Option<Peer> {
         match client.checked_sub(self.clients.len()) {
             None => Some(Peer::Client(client)),
-            Some(place) => self.callers.get(place).map(|&server| Peer::Server(server)),
+            Some(index) => self.calling_servers.get(index).map(|&server| Peer::Server(server)),
         }
     }
 
-    /// The client's place of whoever calls on these circuits.
-    fn place(&self, peer: Peer) -> usize {
+    /// The client index of a peer that makes calls.
+    fn client_index(&self, peer: Peer) -> usize {
         match peer {
             Peer::Client(client) => client,
             Peer::Server(server) => {
-                let place = self.callers.iter().position(|caller| *caller == server);
-                self.clients.len() + place.expect("only those that call have calls")
+                let index = self.calling_servers.iter().position(|caller| *caller == server);
+                self.clients.len() + index.expect("only calling servers have a client index")
             }
         }
     }
 
-    fn calls(&self, server: usize) -> bool {
-        self.callers.contains(&server)
+    fn is_calling_server(&self, server: usize) -> bool {
+        self.calling_servers.contains(&server)
     }
 
-    fn tell_caller(&mut self, now: Micros, client: usize, event: circuits::Event) {
-        if let Some(peer) = self.caller(client) {
-            self.tell_trunk(now, peer, event, None);
+    fn handle_caller_event(&mut self, now: Micros, client: usize, event: circuits::Event) {
+        if let Some(peer) = self.calling_peer(client) {
+            self.handle_trunk_event(now, peer, event, None);
         }
     }
 
-    /// `bytes` are the message that the event is about, to be told with an error.
+    /// Passes an event to the gateway. `bytes` is the received message, which an ERR reply quotes.
     fn handle_gateway_event(&mut self, now: Micros, event: gateway::Event, bytes: Option<&[u8]>) {
         self.gateway.handle(now, event);
         self.apply_gateway_effects(now, bytes);
@@ -408,30 +438,32 @@
                     self.effects.push(Effect::Write(association, bytes))
                 }
                 gateway::Effect::Close(association) => {
-                    self.ends.remove(&association);
+                    self.associations.remove(&association);
                     self.effects.push(Effect::Close(association));
                 }
                 gateway::Effect::Deliver { server: client, association, user } => {
-                    self.delivered(now, Peer::Client(client), association, &user, bytes)
+                    self.handle_isup(now, Peer::Client(client), association, &user, bytes)
                 }
                 gateway::Effect::Up { server: client } => {
                     self.effects.push(Effect::ClientUp(client));
-                    self.tell_trunk(now, Peer::Client(client), circuits::Event::Up, None);
+                    self.handle_trunk_event(now, Peer::Client(client), circuits::Event::Up, None);
                 }
                 gateway::Effect::Lost { server: client } => {
-                    self.tell_trunk(now, Peer::Client(client), circuits::Event::Down, None);
+                    self.handle_trunk_event(now, Peer::Client(client), circuits::Event::Down, None);
                     self.effects.push(Effect::ClientLost(client));
                 }
-                gateway::Effect::Pending { server: client } => self.effects.push(Effect::ClientAway(client)),
+                gateway::Effect::Pending { server: client } => {
+                    self.effects.push(Effect::ClientPending(client))
+                }
                 gateway::Effect::Recovered { server: client } => {
-                    self.effects.push(Effect::ClientBack(client))
+                    self.effects.push(Effect::ClientRecovered(client))
                 }
                 gateway::Effect::Congested { server: client, level } => {
-                    self.note(Note::ClientCongested(client, level))
+                    self.log(LogEvent::ClientCongested(client, level))
                 }
-                gateway::Effect::ErrorSent(_, error) => self.note(Note::Refused(error)),
-                gateway::Effect::ErrorReceived(_, code) => self.note(Note::PeerRefuses(code)),
-                gateway::Effect::Dropped { circuit, .. } => self.note(Note::Dropped(circuit)),
+                gateway::Effect::ErrorSent(_, error) => self.log(LogEvent::ErrorSent(error)),
+                gateway::Effect::ErrorReceived(_, code) => self.log(LogEvent::ErrorReceived(code)),
+                gateway::Effect::Dropped { circuit, .. } => self.log(LogEvent::Dropped(circuit)),
             }
         }
     }
@@ -448,52 +480,52 @@
                     self.effects.push(Effect::Write(association, bytes))
                 }
                 asp::Effect::Close(association) => {
-                    self.ends.remove(&association);
+                    self.associations.remove(&association);
                     self.effects.push(Effect::Close(association));
                 }
                 asp::Effect::Deliver { association, user } => {
-                    self.delivered(now, Peer::Server(server), association, &user, bytes)
+                    self.handle_isup(now, Peer::Server(server), association, &user, bytes)
                 }
                 asp::Effect::Up => {
-                    self.tell_trunk(now, Peer::Server(server), circuits::Event::Up, None);
+                    self.handle_trunk_event(now, Peer::Server(server), circuits::Event::Up, None);
                     self.effects.push(Effect::ServerUp(server));
-                    if self.calls(server) {
-                        self.effects.push(Effect::ClientUp(self.place(Peer::Server(server))));
+                    if self.is_calling_server(server) {
+                        self.effects.push(Effect::ClientUp(self.client_index(Peer::Server(server))));
                     }
-                    self.tell_server(now, server, Route::Available, 0);
+                    self.set_server_state(now, server, Route::Available, 0);
                 }
                 asp::Effect::Lost => {
-                    self.tell_trunk(now, Peer::Server(server), circuits::Event::Down, None);
+                    self.handle_trunk_event(now, Peer::Server(server), circuits::Event::Down, None);
                     self.effects.push(Effect::ServerLost(server));
-                    if self.calls(server) {
-                        self.effects.push(Effect::ClientLost(self.place(Peer::Server(server))));
+                    if self.is_calling_server(server) {
+                        self.effects.push(Effect::ClientLost(self.client_index(Peer::Server(server))));
                     }
-                    self.tell_server(now, server, Route::Unavailable, 0);
+                    self.set_server_state(now, server, Route::Unavailable, 0);
                 }
                 asp::Effect::Route(route) => {
                     self.effects.push(Effect::Route { server, route });
-                    self.tell_server(now, server, route, 0);
+                    self.set_server_state(now, server, route, 0);
                 }
                 asp::Effect::Congested(level) => {
                     self.effects.push(Effect::Congested { server, level });
-                    self.tell_server(now, server, Route::Available, level);
+                    self.set_server_state(now, server, Route::Available, level);
                 }
                 asp::Effect::Probed(data) => self.effects.push(Effect::Probed { server, data }),
-                asp::Effect::ErrorSent(_, error) => self.note(Note::Refused(error)),
-                asp::Effect::ErrorReceived(_, code) => self.note(Note::PeerRefuses(code)),
-                asp::Effect::Dropped { circuit } => self.note(Note::Dropped(circuit)),
+                asp::Effect::ErrorSent(_, error) => self.log(LogEvent::ErrorSent(error)),
+                asp::Effect::ErrorReceived(_, code) => self.log(LogEvent::ErrorReceived(code)),
+                asp::Effect::Dropped { circuit } => self.log(LogEvent::Dropped(circuit)),
             }
         }
     }
 
-    /// What clients that ask for a server's point code are told.
-    fn tell_server(&mut self, now: Micros, server: usize, route: Route, level: u8) {
+    /// Records the state of a server's point code in the gateway, which reports it to clients.
+    fn set_server_state(&mut self, now: Micros, server: usize, route: Route, level: u8) {
         let point_code = self.server_codes[server];
         self.handle_gateway_event(now, gateway::Event::Route { point_code, route, level }, None);
     }
 
-    fn note(&mut self, note: Note) {
-        self.effects.push(Effect::Note(note));
+    fn log(&mut self, event: LogEvent) {
+        self.effects.push(Effect::Log(event));
     }
 
     fn refuse(
@@ -517,8 +549,8 @@
         }
     }
 
-    /// A call or circuit message of a peer.
-    fn delivered(
+    /// Passes a peer's ISUP message to the peer's circuits, or rejects it where it cannot be decoded.
+    fn handle_isup(
         &mut self,
         now: Micros,
         peer: Peer,
@@ -532,22 +564,27 @@
                 if self.trunk(peer).is_idle(circuit) =>
             {
                 let cause = Cause::PROTOCOL;
-                return self.tell_trunk(now, peer, circuits::Event::Recall { circuit, cause }, None);
+                return self.handle_trunk_event(now, peer, circuits::Event::Recall { circuit, cause }, None);
             }
             Err(_) => return self.refuse(now, peer, association, ErrorCode::Protocol, bytes),
         };
-        let calls = match peer {
+        let may_call = match peer {
             Peer::Client(_) => true,
-            Peer::Server(server) => self.calls(server),
+            Peer::Server(server) => self.is_calling_server(server),
         };
         let call = match message.body {
-            Body::SetUp(_) if calls => {
-                let place = self.place(peer);
-                (self.name)(place, message.circuit)
+            Body::SetUp(_) if may_call => {
+                let index = self.client_index(peer);
+                (self.allocate_call_ref)(index, message.circuit)
             }
             _ => CallRef(0),
         };
-        self.tell_trunk(now, peer, circuits::Event::Received { message, call }, Some((association, bytes)));
+        self.handle_trunk_event(
+            now,
+            peer,
+            circuits::Event::Received { message, call },
+            Some((association, bytes)),
+        );
     }
 
     fn trunk(&mut self, peer: Peer) -> &mut Trunk {
@@ -557,7 +594,7 @@
         }
     }
 
-    fn tell_trunk(
+    fn handle_trunk_event(
         &mut self,
         now: Micros,
         peer: Peer,
@@ -570,15 +607,15 @@
                 circuits::Effect::Send(message) => self.send(now, peer, message.circuit, &message.to_bytes()),
                 circuits::Effect::SendBytes(circuit, bytes) => self.send(now, peer, circuit, &bytes),
                 circuits::Effect::Offer { call, set_up, .. } => {
-                    let client = self.place(peer);
+                    let client = self.client_index(peer);
                     self.effects.push(Effect::Offer { client, call, set_up });
                 }
                 circuits::Effect::Analyse { circuit, number } => {
                     let complete = self.is_complete(&number);
-                    self.tell_trunk(now, peer, circuits::Event::Number { circuit, complete }, None);
+                    self.handle_trunk_event(now, peer, circuits::Event::Number { circuit, complete }, None);
                 }
                 circuits::Effect::Abandoned { call, cause } => {
-                    let client = self.place(peer);
+                    let client = self.client_index(peer);
                     self.effects.push(Effect::Abandoned { client, call, cause });
                 }
                 circuits::Effect::Idle { circuit } => match peer {
@@ -590,31 +627,31 @@
                     }
                 },
                 circuits::Effect::Stands { circuit, call } => {
-                    let (is_client, place) = match peer {
+                    let (is_client, index) = match peer {
                         Peer::Client(client) => (true, client),
                         Peer::Server(server) => (false, server),
                     };
-                    self.effects.push(Effect::Stands { is_client, place, circuit, call });
+                    self.effects.push(Effect::EstablishedCall { is_client, index, circuit, call });
                 }
                 circuits::Effect::Disregarded { kind: isup::kind::IAM, .. } => {
-                    // A release would end the call that is on its circuit.
+                    // Answered with ERR, since a release would end the call that is on the circuit.
                     if let Some((association, bytes)) = from {
                         self.refuse(now, peer, association, ErrorCode::Unexpected, bytes);
                     }
                 }
                 circuits::Effect::Disregarded { .. } => {}
-                circuits::Effect::Alert { circuit, what } => self.note(Note::Circuit(circuit, what)),
-                of_ours => {
+                circuits::Effect::Alert { circuit, what } => self.log(LogEvent::Circuit(circuit, what)),
+                outgoing => {
                     if let Peer::Server(server) = peer {
-                        self.effects.extend(call_effect(server, of_ours));
+                        self.effects.extend(call_effect(server, outgoing));
                     }
                 }
             }
         }
     }
 
-    /// Whether a called number that comes in parts is whole: it ends with the end-of-pulsing signal, or it is
-    /// as long as its prefix asks for and no longer prefix could follow.
+    /// Whether a called number sent in overlap mode is complete: it ends with the end-of-pulsing signal, or
+    /// it has the minimum length of its prefix and no longer prefix can match.
     fn is_complete(&self, number: &str) -> bool {
         let found = self.destinations.analyse(number);
         number.ends_with('f') || found.longest.is_some_and(|to| number.len() >= to.digits) && !found.open
@@ -632,7 +669,7 @@
     }
 }
 
-/// What became of a call of ours.
+/// The effect of a server's circuits on an outgoing call.
 fn call_effect(server: usize, effect: circuits::Effect) -> Option<Effect> {
     Some(match effect {
         circuits::Effect::Progress { .. } => Effect::Progress { server },
--- a/signalling/tests/conformance.rs
+++ b/signalling/tests/conformance.rs
@@ -1,10 +1,12 @@
-//! The conformance suite, run against the engines with a clock that is handed in.
+//! The conformance suite against the engines in this process, with a simulated clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use steprelay_signalling::cause::Cause;
 use steprelay_signalling::circuits::{self, CallRef, OnStart};
-use steprelay_signalling::conformance::{self, Heard, Outcome, Subject, CONTEXT, OURS, PEER};
+use steprelay_signalling::conformance::{
+    self, Outcome, Received, Subject, ROUTING_CONTEXT, SUBJECT_POINT_CODE, TESTER_POINT_CODE,
+};
 use steprelay_signalling::isup::{Blocking, SetUp};
 use steprelay_signalling::m3ua::gateway::{self, Association, Route};
 use steprelay_signalling::m3ua::{self, asp, ErrorCode, Kind, TrafficMode};
@@ -13,28 +15,32 @@
 use steprelay_signalling::Micros;
 
 const SECOND: Micros = 1_000_000;
-/// The second client's point code, and that of a server which is never connected.
-const OTHER: u32 = 2002;
-const SERVER: u32 = 3001;
+/// The point code of the second client.
+const SECOND_CLIENT: u32 = 2002;
+/// The point code of a server that is never connected.
+const UNCONNECTED_SERVER: u32 = 3001;
 
 #[derive(Default)]
 struct Connection {
     inbound: Vec<u8>,
-    heard: VecDeque<Vec<u8>>,
+    received: VecDeque<Vec<u8>>,
     closed: bool,
 }
 
-/// The engines, with call control that does what a case says.
+/// The engines, with call control that acts on the steps of a case.
 struct Engine {
     office: Office,
     now: Micros,
-    member: bool,
+    is_asp: bool,
     connections: Vec<Connection>,
     serial: u64,
-    /// Calls by circuit, the latest ones.
+    /// The latest offered call of each circuit.
     calls: BTreeMap<u16, CallRef>,
-    made: Vec<CallRef>,
-    stood: Vec<CallRef>,
+    /// Calls to the server, in order of their set-up.
+    outgoing: Vec<CallRef>,
+    /// Calls that the server has answered.
+    answered: Vec<CallRef>,
+    /// The causes of ended calls to the server, not yet checked by a case.
     ended: VecDeque<u8>,
     route: Route,
     level: u8,
@@ -52,7 +58,7 @@
 }
 
 fn config(profile: &str) -> Config {
-    let mut first = client(PEER, CONTEXT);
+    let mut first = client(TESTER_POINT_CODE, ROUTING_CONTEXT);
     let mut circuits = circuits::Config::default();
     let mut heartbeat_interval = 0;
     match profile {
@@ -67,16 +73,16 @@
     }
     let mut clients = vec![first];
     if profile == "two" {
-        clients.push(client(OTHER, CONTEXT + 1));
+        clients.push(client(SECOND_CLIENT, ROUTING_CONTEXT + 1));
     }
-    let member = profile.starts_with("member");
+    let is_asp = profile.starts_with("member");
     let shared = profile == "member-shared";
     let server = ServerConfig {
         asp: asp::Config {
-            point_code: OURS,
-            peer_point_code: if member { PEER } else { SERVER },
+            point_code: SUBJECT_POINT_CODE,
+            peer_point_code: if is_asp { TESTER_POINT_CODE } else { UNCONNECTED_SERVER },
             network: 2,
-            routing_context: CONTEXT,
+            routing_context: ROUTING_CONTEXT,
             mode: if shared { TrafficMode::Loadshare } else { TrafficMode::Override },
             sends_mode: shared,
             identifier: (profile == "member-identified").then_some(9),
@@ -100,7 +106,7 @@
     let to = Destination { number: 0, digits: 7 };
     Config {
         gateway: gateway::Config {
-            point_code: OURS,
+            point_code: SUBJECT_POINT_CODE,
             network: 2,
             recovery_timeout: 2 * SECOND,
             queue_capacity: 16,
@@ -121,12 +127,12 @@
         Engine {
             office: Office::new(config("default"), Box::new(|_, _| CallRef(0)), 0),
             now: 0,
-            member: false,
+            is_asp: false,
             connections: Vec::new(),
             serial: 0,
             calls: BTreeMap::new(),
-            made: Vec::new(),
-            stood: Vec::new(),
+            outgoing: Vec::new(),
+            answered: Vec::new(),
             ended: VecDeque::new(),
             route: Route::Available,
             level: 0,
@@ -138,7 +144,7 @@
         for effect in self.office.take_effects() {
             match effect {
                 Effect::Write(Association(connection), bytes) => {
-                    self.connections[connection as usize].heard.push_back(bytes);
+                    self.connections[connection as usize].received.push_back(bytes);
                 }
                 Effect::Close(Association(connection)) => self.connections[connection as usize].closed = true,
                 Effect::Offer { client, call, set_up } if ![10, 11].contains(&set_up.category) => {
@@ -148,7 +154,7 @@
                 Effect::Offer { call, .. } => {
                     self.calls.insert(call.0 as u16, call);
                 }
-                Effect::Answered { call, .. } => self.stood.push(call),
+                Effect::Answered { call, .. } => self.answered.push(call),
                 Effect::Ended { cause, .. } => self.ended.push_back(cause.0),
                 Effect::Route { route, .. } => self.route = route,
                 Effect::Congested { level, .. } => self.level = level,
@@ -157,11 +163,11 @@
         }
     }
 
-    /// The call that is meant by its circuit.
+    /// The call on a circuit.
     fn call(&self, circuit: u16) -> Option<CallRef> {
-        if self.member {
+        if self.is_asp {
             let trunk = &self.office.servers()[0].1;
-            return self.made.iter().copied().find(|call| trunk.circuit(*call) == Some(circuit));
+            return self.outgoing.iter().copied().find(|call| trunk.circuit(*call) == Some(circuit));
         }
         self.calls.get(&circuit).copied()
     }
@@ -175,7 +181,7 @@
             CallRef(serial << 16 | u64::from(circuit))
         };
         let office = Office::new(config(profile), Box::new(name), 0);
-        *self = Engine { office, member: profile.starts_with("member"), ..Engine::new() };
+        *self = Engine { office, is_asp: profile.starts_with("member"), ..Engine::new() };
         Ok(())
     }
 
@@ -183,7 +189,7 @@
         assert_eq!(connection, self.connections.len(), "connections are opened in order");
         self.connections.push(Connection::default());
         let association = Association(connection as u64);
-        self.handle(match self.member {
+        self.handle(match self.is_asp {
             true => Event::ServerOpened(0, association),
             false => Event::ClientOpened(association),
         });
@@ -200,13 +206,13 @@
                     self.handle(Event::Received(association, &message));
                 }
                 m3ua::Split::Partial => return,
-                // What the sockets do about it.
+                // The sockets of the call agent do the same.
                 m3ua::Split::Broken => {
-                    let told = m3ua::message(
+                    let error = m3ua::message(
                         Kind::Err,
                         &[(m3ua::tag::ERROR_CODE, &[0, 0, 0, ErrorCode::Protocol as u8])],
                     );
-                    self.connections[connection].heard.push_back(told);
+                    self.connections[connection].received.push_back(error);
                     self.connections[connection].closed = true;
                     return self.handle(Event::Closed(association));
                 }
@@ -214,12 +220,12 @@
         }
     }
 
-    fn hear(&mut self, connection: usize) -> Heard {
+    fn receive(&mut self, connection: usize) -> Received {
         let connection = &mut self.connections[connection];
-        match connection.heard.pop_front() {
-            Some(bytes) => Heard::Message(bytes),
-            None if connection.closed => Heard::Closed,
-            None => Heard::Nothing,
+        match connection.received.pop_front() {
+            Some(bytes) => Received::Message(bytes),
+            None if connection.closed => Received::Closed,
+            None => Received::Nothing,
         }
     }
 
@@ -233,11 +239,11 @@
         Ok(())
     }
 
-    fn control(&mut self, what: &str) -> Result<(), Outcome> {
-        let words: Vec<&str> = what.split(' ').collect();
+    fn control(&mut self, action: &str) -> Result<(), Outcome> {
+        let words: Vec<&str> = action.split(' ').collect();
         let number = |place: usize| words.get(place).and_then(|word| word.parse::<u16>().ok());
-        let failed = |why: &str| Err(Outcome::Failed(format!("! {what}: {why}")));
-        let same = |same: bool| if same { Ok(()) } else { failed("it is not so") };
+        let failed = |reason: &str| Err(Outcome::Failed(format!("! {action}: {reason}")));
+        let check = |holds: bool| if holds { Ok(()) } else { failed("does not hold") };
         let client = 0;
         match (words[0], number(1), number(2)) {
             ("hold", ..) => {}
@@ -251,49 +257,49 @@
                 self.handle(Event::Release { client, call, cause: Cause::CONGESTION, congestion });
             }
             ("end", Some(circuit), Some(cause)) => {
-                let Some(call) = self.call(circuit) else { return failed("there is no such call") };
+                let Some(call) = self.call(circuit) else { return failed("no call on this circuit") };
                 let cause = Cause(cause as u8);
-                self.handle(match self.member {
-                    true => Event::End { server: 0, call, cause },
+                self.handle(match self.is_asp {
+                    true => Event::ReleaseToServer { server: 0, call, cause },
                     false => Event::Release { client, call, cause, congestion: None },
                 });
             }
             ("block" | "unblock", Some(first), Some(last)) => {
-                let (why, on) = (Blocking::Maintenance, words[0] == "block");
-                self.handle(Event::Block { client, first, last, why, on });
+                let (reason, is_blocked) = (Blocking::Maintenance, words[0] == "block");
+                self.handle(Event::Block { client, first, last, reason, is_blocked });
             }
             ("audit", ..) => self.handle(Event::Audit { client }),
             ("pressure", Some(level), _) => {
-                self.handle(Event::Ourselves { route: Route::Available, level: level as u8 })
+                self.handle(Event::LocalState { route: Route::Available, level: level as u8 })
             }
-            ("drain", ..) => self.handle(Event::Ourselves { route: Route::Restricted, level: 0 }),
+            ("drain", ..) => self.handle(Event::LocalState { route: Route::Restricted, level: 0 }),
             ("set-up", ..) => {
                 self.serial += 1;
                 let call = CallRef(self.serial);
-                self.made.push(call);
+                self.outgoing.push(call);
                 let (number, description) = ("60312".to_string(), "d".repeat(110));
                 let set_up = SetUp { category: 10, number, description, ..SetUp::default() };
                 self.handle(Event::SetUp { server: 0, call, set_up });
             }
-            ("ended", Some(cause), _) => return same(self.ended.pop_front() == Some(cause as u8)),
+            ("ended", Some(cause), _) => return check(self.ended.pop_front() == Some(cause as u8)),
             ("stands", Some(circuit), _) => {
-                return same(self.call(circuit).is_some_and(|call| self.stood.contains(&call)));
+                return check(self.call(circuit).is_some_and(|call| self.answered.contains(&call)));
             }
-            ("congested", Some(level), _) => return same(u16::from(self.level) == level),
-            ("route", ..) => return same(format!("{:?}", self.route).to_lowercase() == words[1]),
-            _ => return failed("nobody can do that"),
+            ("congested", Some(level), _) => return check(u16::from(self.level) == level),
+            ("route", ..) => return check(format!("{:?}", self.route).to_lowercase() == words[1]),
+            _ => return failed("unknown action"),
         }
         Ok(())
     }
 
-    fn comes_up(&self) -> bool {
-        self.member
+    fn is_asp(&self) -> bool {
+        self.is_asp
     }
 }
 
 #[test]
-fn the_engines_pass_every_case() {
-    let cases = conformance::suite().expect("the files are good");
+fn engines_pass_every_case() {
+    let cases = conformance::suite().expect("the suite is valid");
     assert!(cases.len() >= 150, "{} cases", cases.len());
     let mut engine = Engine::new();
     let mut failed = Vec::new();
@@ -307,7 +313,7 @@
 }
 
 #[test]
-fn a_case_that_does_not_hold_is_told() {
+fn unmet_expectations_fail_the_case() {
     let text = "one | x | down | y | > ASPUP | < ASPDN-ACK\ntwo | x | down | y | > ASPUP | < ASPUP-ACK rc=1";
     let cases = conformance::read("t", text).expect("well formed");
     let outcomes: Vec<_> = cases.iter().map(|case| conformance::run(case, &mut Engine::new())).collect();
@@ -315,16 +321,16 @@
 }
 
 #[test]
-fn what_is_wrong_in_a_file_is_told_with_its_line() {
+fn syntax_errors_name_file_and_line() {
     let table = [
-        ("a | b", "t, line 1: a case has a name, a section, a start, what it shows, and steps"),
-        ("\na | b | here | c | quiet", "t, line 2: no start 'here'"),
-        ("a | b | down | c | > ASPUP", "t, line 1: a case without anything to expect shows nothing"),
-        ("a | b | down | c | < NOPE", "t, line 1: no message 'NOPE'"),
-        ("a | b | down | c | < call 1 IAM 0", "t, line 1: no octets '0'"),
-        ("@profile x\n@nothing", "t, line 2: no directive 'nothing'"),
+        ("a | b", "t, line 1: a case needs a name, a section, a start, a purpose and steps"),
+        ("\na | b | here | c | quiet", "t, line 2: unknown start 'here'"),
+        ("a | b | down | c | > ASPUP", "t, line 1: a case needs a step that expects something"),
+        ("a | b | down | c | < NOPE", "t, line 1: unknown message 'NOPE'"),
+        ("a | b | down | c | < call 1 IAM 0", "t, line 1: invalid octets '0'"),
+        ("@profile x\n@nothing", "t, line 2: unknown directive 'nothing'"),
     ];
-    for (text, told) in table {
-        assert_eq!(conformance::read("t", text).expect_err("bad").to_string(), told);
+    for (text, message) in table {
+        assert_eq!(conformance::read("t", text).expect_err("invalid").to_string(), message);
     }
 }
--- a/signalling/tests/office.rs
+++ b/signalling/tests/office.rs
@@ -321,7 +321,7 @@
                     let (cause, congestion) = (Cause::NORMAL, None);
                     self.handle(match theirs {
                         true => Event::Release { client: 0, call, cause, congestion },
-                        false => Event::End { server: 0, call, cause },
+                        false => Event::ReleaseToServer { server: 0, call, cause },
                     });
                 }
             }
