--- a/agent/src/front/m3ua/config.rs
+++ b/agent/src/front/m3ua/config.rs
@@ -586,7 +586,7 @@
             (format!("{server}circuits = 9\nlongest = 9"), "m3ua: server 's': longest must be 64 at least"),
             (format!("{server}circuits = 9\ncalls_as = 'x'"), "m3ua: the settings name no tenant 'x'"),
             (format!("{class}{class}"), "m3ua: class: category 1 is given twice"),
-            (route.into(), "m3ua: route: prefix '60x' has a sign that is none of 0 to 9 and a to f"),
+            (route.into(), "m3ua: route: prefix '60x' contains a character other than 0 to 9 and a to f"),
             ("[m3ua]\nack_ms = 0".into(), "m3ua: m3ua: ack_ms and ack_tries must be over 0"),
         ];
         for (text, told) in table {
--- a/signalling/src/lib.rs
+++ b/signalling/src/lib.rs
@@ -1,16 +1,17 @@
 //! M3UA-style signalling (RFC 4666) over a stream, and the part of ISUP (Q.763, Q.764) that calls need.
 //!
-//! Nothing here does I/O, reads a clock or spawns anything. An engine is handed what has happened with the
-//! present time (`handle(now, event)`), gives out what follows from it (`take_effects`) and says when it
-//! wants to be woken (`next_timeout`). From the wire upwards:
+//! The crate performs no I/O, reads no clock and spawns no task. Each engine is a state machine: it takes an
+//! event and the current time (`handle(now, event)`), returns the resulting effects (`take_effects`) and the
+//! time of its next timer (`next_timeout`). The modules, from the wire upwards:
 //!
-//! - [`m3ua`]: the codec; [`m3ua::gateway`], a signalling gateway towards the ASPs of clients, and
-//!   [`m3ua::member`], an ASP of a server's gateway, with the state tables in [`m3ua::states`];
+//! - [`m3ua`]: the codec; [`m3ua::gateway`], a signalling gateway towards the ASPs of clients;
+//!   [`m3ua::asp`], an ASP of a server's gateway; and the state tables in [`m3ua::states`];
 //! - [`isup`]: the codec of call and circuit messages;
-//! - [`circuits`]: the circuits of one peer, every event in every state, with the timers of Q.764;
-//! - [`office`]: the gateway, the members and the circuits of all peers put together, as calls see them;
-//! - [`cause`]: what a release cause says of a call;
-//! - [`wheel`] and [`trie`]: the timers and the analysis of called numbers that these stand on.
+//! - [`circuits`]: the circuits of one peer, with every event in every state and the timers of Q.764;
+//! - [`office`]: the gateway, the ASPs and the circuits of all peers behind one interface for call control;
+//! - [`cause`]: the meaning of release causes;
+//! - [`wheel`] and [`trie`]: the timer wheel and the analysis of called numbers;
+//! - [`conformance`]: the conformance test cases for the gateway, the ASP and the circuits.
 //!
 //! ```
 //! use steprelay_signalling::isup::{Body, Message};
@@ -30,10 +31,10 @@
 pub mod trie;
 pub mod wheel;
 
-/// Microseconds, of a span or since the Unix epoch.
+/// Microseconds, either a duration or a time since the Unix epoch.
 pub type Micros = i64;
 
-/// A circuit identification code (Q.763 1.2), 0 to 4095 among those of one pair of point codes.
+/// A circuit identification code (Q.763 1.2), 0 to 4095, unique for a pair of point codes.
 pub type Circuit = u16;
 
 /// The highest circuit identification code.
--- a/signalling/src/office.rs
+++ b/signalling/src/office.rs
@@ -654,7 +654,8 @@
     /// it has the minimum length of its prefix and no longer prefix can match.
     fn is_complete(&self, number: &str) -> bool {
         let found = self.destinations.analyse(number);
-        number.ends_with('f') || found.longest.is_some_and(|to| number.len() >= to.digits) && !found.open
+        number.ends_with('f')
+            || found.longest.is_some_and(|to| number.len() >= to.digits) && !found.can_extend
     }
 
     fn send(&mut self, now: Micros, peer: Peer, circuit: Circuit, user: &[u8]) {
--- a/signalling/src/wheel.rs
+++ b/signalling/src/wheel.rs
@@ -1,55 +1,61 @@
-//! A hierarchical timer wheel: setting and cancelling a timer cost the same however many there are.
+//! A hierarchical timer wheel: setting and cancelling a timer take constant time.
 //!
-//! Five levels of 64 slots cover 2^30 ticks of a millisecond; what lies beyond is looked at again then. A
-//! timer lies in the lowest level on which its time and the present differ, in a list that its key unlinks it
-//! from. The one invariant: no slot lies before `next_tick`, so that the first occupied slot, over all
-//! levels, is the next thing to look at.
+//! Five levels of 64 slots cover 2^30 ticks of one millisecond; a timer beyond this horizon is linked again
+//! when the horizon is reached. A timer is in the highest level at which the slots of its due tick and of the
+//! current tick differ, in a doubly linked list, so that its key can unlink it. Invariant: no occupied slot
+//! lies before `next_tick`, so the first occupied slot over all levels is the next one to process.
 
 use crate::Micros;
 
-/// A tick, in microseconds. Timers fire up to one tick late and never early.
+/// The length of a tick in microseconds. Timers fire up to one tick late and never early.
 pub const TICK: Micros = 1_000;
 
-const BITS: u32 = 6;
-const SLOTS: usize = 1 << BITS;
+const SLOT_BITS: u32 = 6;
+const SLOTS: usize = 1 << SLOT_BITS;
 const LEVELS: usize = 5;
-const HORIZON: u64 = (1 << (BITS * LEVELS as u32)) - 1;
+/// A mask of the bits of a tick that the levels cover.
+const HORIZON: u64 = (1 << (SLOT_BITS * LEVELS as u32)) - 1;
+/// The index that ends a list.
 const NONE: u32 = u32::MAX;
 
-/// Names a timer that was set. It goes stale when the timer fires or is cancelled, and stays harmless.
+/// The key of a timer. After the timer has fired or was cancelled, the key is stale and cancels nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
-    place: u32,
+    index: u32,
     generation: u32,
 }
 
 #[derive(Debug)]
 struct Entry<T> {
-    /// The tick it is due at; `None` marks an entry that is free.
+    /// `None` marks a free entry.
     value: Option<T>,
+    /// The tick at which the timer is due.
     due: u64,
     slot: u16,
+    /// Incremented when the entry is freed, so that keys of earlier timers are stale.
     generation: u32,
-    before: u32,
-    after: u32,
+    previous: u32,
+    next: u32,
 }
 
+/// A timer wheel with a value of type `T` for each timer.
 #[derive(Debug)]
 pub struct Wheel<T> {
-    /// Every tick before this one has been dealt with.
+    /// Every tick before this one has been processed.
     next_tick: u64,
     entries: Vec<Entry<T>>,
-    /// The first free entry; the others follow by `after`.
+    /// The first free entry; the others are linked by `next`.
     free: u32,
+    /// The first and the last entry of each slot's list.
     first: [u32; LEVELS * SLOTS],
     last: [u32; LEVELS * SLOTS],
-    /// Which slots of a level hold anything, a bit each.
+    /// One bit for each slot of a level, set where its list is not empty.
     occupied: [u64; LEVELS],
     len: usize,
 }
 
 impl<T> Wheel<T> {
-    /// An empty wheel whose time begins now.
+    /// An empty wheel whose current time is `now`.
     pub fn new(now: Micros) -> Self {
         Wheel {
             next_tick: tick(now),
@@ -62,6 +68,7 @@
         }
     }
 
+    /// The number of timers that are set.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -70,82 +77,84 @@
         self.len == 0
     }
 
-    /// Sets a timer. One whose time has passed fires at the next look.
+    /// Sets a timer. A timer whose time has passed fires at the next call of [`Wheel::expire`].
     pub fn set(&mut self, at: Micros, value: T) -> Key {
-        let place = if self.free == NONE {
+        let index = if self.free == NONE {
             self.entries.push(Entry {
                 value: None,
                 due: 0,
                 slot: 0,
                 generation: 0,
-                before: NONE,
-                after: NONE,
+                previous: NONE,
+                next: NONE,
             });
             (self.entries.len() - 1) as u32
         } else {
-            let place = self.free;
-            self.free = self.entries[place as usize].after;
-            place
+            let index = self.free;
+            self.free = self.entries[index as usize].next;
+            index
         };
-        let entry = &mut self.entries[place as usize];
+        let entry = &mut self.entries[index as usize];
         entry.value = Some(value);
-        // Rounded up, so that no timer is early.
+        // Rounded up, so that no timer fires early.
         entry.due = tick(at + TICK - 1);
         let generation = entry.generation;
-        self.link(place);
+        self.link(index);
         self.len += 1;
-        Key { place, generation }
+        Key { index, generation }
     }
 
-    /// Takes a timer back; `None` where it has fired or been cancelled before.
+    /// Cancels a timer and returns its value; `None` where it has fired or was cancelled before.
     pub fn cancel(&mut self, key: Key) -> Option<T> {
-        let entry = self.entries.get(key.place as usize)?;
+        let entry = self.entries.get(key.index as usize)?;
         if entry.generation != key.generation || entry.value.is_none() {
             return None;
         }
-        self.unlink(key.place);
-        Some(self.vacate(key.place))
+        self.unlink(key.index);
+        Some(self.free_entry(key.index))
     }
 
-    /// No timer fires before this time; `None` where none is set. It may be early, never late.
+    /// A lower bound of the time at which the next timer fires; `None` where no timer is set.
     pub fn next(&self) -> Option<Micros> {
         self.next_slot().map(|(tick, ..)| tick as Micros * TICK)
     }
 
-    /// The next timer that is due, in the order of their ticks and, in one tick, of their setting.
+    /// Removes the next due timer and returns its value. Timers fire in the order of their ticks; timers of
+    /// one tick fire in the order in which they were set.
     pub fn expire(&mut self, now: Micros) -> Option<T> {
         let target = tick(now);
         while let Some((start, level, slot)) = self.next_slot().filter(|(start, ..)| *start <= target) {
             self.next_tick = self.next_tick.max(start);
-            let place = self.first[level * SLOTS + slot];
-            self.unlink(place);
-            if level == 0 && self.entries[place as usize].due <= start {
-                return Some(self.vacate(place));
+            let index = self.first[level * SLOTS + slot];
+            self.unlink(index);
+            if level == 0 && self.entries[index as usize].due <= start {
+                return Some(self.free_entry(index));
             }
-            // On its way down to the level of its tick. At the horizon it goes round once more.
+            // The timer moves down towards level 0. A timer beyond the horizon is linked again.
             if level == 0 {
                 self.next_tick = start + 1;
             }
-            self.link(place);
+            self.link(index);
         }
         self.next_tick = self.next_tick.max(target);
         None
     }
 
-    /// The first occupied slot with the tick that it starts at. Of two that start together the higher comes
-    /// first, since what it holds belongs into the lower.
+    /// The first occupied slot, as its start tick, level and slot number. Of two slots with the same start,
+    /// the higher level comes first, since its timers have to move to the lower one.
     fn next_slot(&self) -> Option<(u64, usize, usize)> {
         let mut found: Option<(u64, usize, usize)> = None;
         for level in (0..LEVELS).rev() {
-            let shift = BITS * level as u32;
+            let shift = SLOT_BITS * level as u32;
             let at = (self.next_tick >> shift) as usize % SLOTS;
             let ahead = self.occupied[level] >> at;
             if ahead == 0 {
                 continue;
             }
             let slot = at + ahead.trailing_zeros() as usize;
-            let start = (self.next_tick >> (shift + BITS) << (shift + BITS)) | (slot as u64) << shift;
-            // The slot that the present lies in may have begun already.
+            let start =
+                (self.next_tick >> (shift + SLOT_BITS) << (shift + SLOT_BITS)) | (slot as u64) << shift;
+            // The slot of the current tick may have started earlier.
             let start = start.max(self.next_tick);
             if found.is_none_or(|(earliest, ..)| start < earliest) {
                 found = Some((start, level, slot));
@@ -154,45 +163,46 @@
         found
     }
 
-    fn link(&mut self, place: u32) {
-        let due = self.entries[place as usize].due;
+    fn link(&mut self, index: u32) {
+        let due = self.entries[index as usize].due;
         let due = due.clamp(self.next_tick, self.next_tick | HORIZON);
         let differ = (due ^ self.next_tick) | (SLOTS as u64 - 1);
-        let level = ((u64::BITS - 1 - differ.leading_zeros()) / BITS) as usize;
-        let slot = (due >> (BITS * level as u32)) as usize % SLOTS;
+        let level = ((u64::BITS - 1 - differ.leading_zeros()) / SLOT_BITS) as usize;
+        let slot = (due >> (SLOT_BITS * level as u32)) as usize % SLOTS;
         let list = level * SLOTS + slot;
         let last = self.last[list];
-        let entry = &mut self.entries[place as usize];
-        (entry.slot, entry.before, entry.after) = (list as u16, last, NONE);
+        let entry = &mut self.entries[index as usize];
+        (entry.slot, entry.previous, entry.next) = (list as u16, last, NONE);
         match last {
-            NONE => self.first[list] = place,
-            last => self.entries[last as usize].after = place,
+            NONE => self.first[list] = index,
+            last => self.entries[last as usize].next = index,
         }
-        self.last[list] = place;
+        self.last[list] = index;
         self.occupied[level] |= 1 << slot;
     }
 
-    fn unlink(&mut self, place: u32) {
-        let Entry { slot, before, after, .. } = self.entries[place as usize];
+    fn unlink(&mut self, index: u32) {
+        let Entry { slot, previous, next, .. } = self.entries[index as usize];
         let list = usize::from(slot);
-        match before {
-            NONE => self.first[list] = after,
-            before => self.entries[before as usize].after = after,
+        match previous {
+            NONE => self.first[list] = next,
+            previous => self.entries[previous as usize].next = next,
         }
-        match after {
-            NONE => self.last[list] = before,
-            after => self.entries[after as usize].before = before,
+        match next {
+            NONE => self.last[list] = previous,
+            next => self.entries[next as usize].previous = previous,
         }
         if self.first[list] == NONE {
             self.occupied[list / SLOTS] &= !(1 << (list % SLOTS));
         }
     }
 
-    fn vacate(&mut self, place: u32) -> T {
+    /// Frees an unlinked entry and returns its value.
+    fn free_entry(&mut self, index: u32) -> T {
         self.len -= 1;
-        let entry = &mut self.entries[place as usize];
+        let entry = &mut self.entries[index as usize];
         entry.generation = entry.generation.wrapping_add(1);
-        entry.after = std::mem::replace(&mut self.free, place);
+        entry.next = std::mem::replace(&mut self.free, index);
         entry.value.take().expect("a linked entry holds a value")
     }
 }
@@ -217,7 +227,7 @@
     }
 
     fn step() -> impl Strategy<Value = Step> {
-        // Delays of every magnitude, so that every level and the horizon are met.
+        // Delays of every magnitude, so that every level and the horizon are covered.
         let span = prop_oneof![0..100i64, 0..70_000i64, 0..20_000_000i64, 0..4_000_000_000_000i64];
         prop_oneof![
             4 => span.clone().prop_map(Step::Set),
@@ -227,9 +237,9 @@
     }
 
     proptest! {
-        /// Against the plain thing: an ordered map by due tick and the order of setting.
+        /// Compares the wheel with a model: an ordered map by due tick and order of setting.
         #[test]
-        fn fires_what_an_ordered_map_fires(
+        fn fires_the_same_timers_as_an_ordered_map(
             start in 0..1i64 << 50,
             steps in prop::collection::vec(step(), 1..120),
         ) {
@@ -272,16 +282,16 @@
     }
 
     #[test]
-    fn timers_fire_in_the_order_of_their_times() {
+    fn timers_fire_in_order_of_their_times() {
         let mut wheel = Wheel::new(0);
         let times = [70_000_000, 3_000, 500_000_000, 64_000, 3_000, 4_096_000, 65_000];
-        for (place, at) in times.into_iter().enumerate() {
-            wheel.set(at, place);
+        for (index, at) in times.into_iter().enumerate() {
+            wheel.set(at, index);
         }
         let mut fired = Vec::new();
         while let Some(next) = wheel.next() {
-            while let Some(place) = wheel.expire(next) {
-                fired.push(place);
+            while let Some(index) = wheel.expire(next) {
+                fired.push(index);
             }
         }
         assert_eq!(fired, [1, 4, 3, 6, 5, 0, 2]);
--- a/signalling/tests/office.rs
+++ b/signalling/tests/office.rs
@@ -1,5 +1,6 @@
-//! Random lives of a client with several ASPs and a server with two associations, judged on what is written
-//! and told alone: where it is written, how often a call is answered, and in which order.
+//! A randomised test of a client with several ASPs and a server with several associations. It checks only the
+//! effects of the office: the associations that messages are written to, their order, and that a call is
+//! offered, answered and ended at most once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,9 +14,10 @@
 use steprelay_signalling::trie::PrefixTrie;
 use steprelay_signalling::Micros;
 
-const OURS: u32 = 1001;
-const CLIENT: u32 = 2001;
-const SERVER: u32 = 3001;
+const LOCAL_POINT_CODE: u32 = 1001;
+const CLIENT_POINT_CODE: u32 = 2001;
+const SERVER_POINT_CODE: u32 = 3001;
+/// The number of associations of the client, and of the server.
 const SLOTS: usize = 3;
 
 const IAM: u8 = 0x01;
@@ -26,7 +28,7 @@
 
 fn office(mode: TrafficMode) -> Office {
     let clients = gateway::ServerConfig {
-        point_code: CLIENT,
+        point_code: CLIENT_POINT_CODE,
         routing_context: 1,
         mode,
         min_active_asps: 1,
@@ -35,8 +37,8 @@
     };
     let server = ServerConfig {
         asp: asp::Config {
-            point_code: OURS,
-            peer_point_code: SERVER,
+            point_code: LOCAL_POINT_CODE,
+            peer_point_code: SERVER_POINT_CODE,
             network: 2,
             routing_context: 7,
             mode,
@@ -54,7 +56,7 @@
         },
     };
     let gateway = gateway::Config {
-        point_code: OURS,
+        point_code: LOCAL_POINT_CODE,
         network: 2,
         servers: vec![clients],
         recovery_timeout: 2_000_000,
@@ -68,7 +70,7 @@
         gateway,
         clients: vec![circuits::Config::default()],
         servers: vec![server],
-        destinations: PrefixTrie::new([]).expect("none to be wrong"),
+        destinations: PrefixTrie::new([]).expect("an empty trie is valid"),
     };
     let mut serial = 1000;
     let name = move |_, _| {
@@ -78,7 +80,7 @@
     Office::new(config, Box::new(name), 0)
 }
 
-/// A message of no or one parameter, written out here so that no code of the program's checks itself.
+/// Encodes a message with at most one parameter, independently of the codec under test.
 fn message(class: u8, kind: u8, parameter: Option<(u16, &[u8])>) -> Vec<u8> {
     let mut bytes = vec![1, 0, class, kind, 0, 0, 0, 8];
     if let Some((tag, value)) = parameter {
@@ -99,11 +101,11 @@
         _ => &[0],
     };
     let user = [&circuit.to_le_bytes()[..], &[kind], body].concat();
-    let label = [&origin.to_be_bytes()[..], &OURS.to_be_bytes(), &[5, 2, 0, 0], &user].concat();
+    let label = [&origin.to_be_bytes()[..], &LOCAL_POINT_CODE.to_be_bytes(), &[5, 2, 0, 0], &user].concat();
     message(1, 1, Some((0x0210, &label)))
 }
 
-/// The circuit and type of a call message in DATA, behind the head, the context and the label.
+/// The circuit and type of the ISUP message in DATA, after the header, the routing context and the label.
 fn call_message(bytes: &[u8]) -> Option<(u16, u8)> {
     (bytes[2..4] == [1, 1]).then(|| (u16::from_le_bytes([bytes[32], bytes[33]]), bytes[34]))
 }
@@ -112,9 +114,11 @@
 enum Step {
     Open(usize),
     Close(usize),
-    /// ASPUP, ASPDN, ASPAC or ASPIA of a client, or ASPUP ACK, ASPAC ACK, ASPIA ACK or NTFY of the server.
-    Say(usize, u8),
-    Call(usize, u16, u8),
+    /// ASPUP, ASPDN, ASPAC or ASPIA from the client; or ASPUP ACK, NTFY (alternate ASP active), ASPAC ACK or
+    /// ASPIA ACK from the server.
+    Signal(usize, u8),
+    /// An ISUP message on a circuit, by its type.
+    Isup(usize, u16, u8),
     SetUp,
     Answer(usize),
     Release(usize),
@@ -122,15 +126,15 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    // The first places are the client's, the others the server's.
+    // The first half of the slots is the client's, the other half the server's.
     let slot = || 0..2 * SLOTS;
     let kind = prop::sample::select(vec![IAM, IAM, ANM, REL, RLC, RLC, RSC]);
     prop_oneof![
         4 => slot().prop_map(Step::Open),
         1 => slot().prop_map(Step::Close),
         8 => (slot(), prop::sample::select(vec![0u8, 0, 1, 2, 2, 2, 3]))
-            .prop_map(|(slot, what)| Step::Say(slot, what)),
-        8 => (slot(), 1..=4u16, kind).prop_map(|(slot, circuit, kind)| Step::Call(slot, circuit, kind)),
+            .prop_map(|(slot, what)| Step::Signal(slot, what)),
+        8 => (slot(), 1..=4u16, kind).prop_map(|(slot, circuit, kind)| Step::Isup(slot, circuit, kind)),
         3 => Just(Step::SetUp),
         3 => any::<usize>().prop_map(Step::Answer),
         2 => any::<usize>().prop_map(Step::Release),
@@ -143,18 +147,20 @@
     now: Micros,
     slots: [Option<Association>; 2 * SLOTS],
     next: u64,
-    /// Associations that are open, and those on which traffic may be written.
+    /// Associations that are open.
     open: BTreeSet<Association>,
+    /// Associations on which DATA may be written.
     active: BTreeSet<Association>,
-    /// The association that wrote last on each circuit of the client, since that was in use.
+    /// The association that was last written to for each circuit of the client in use.
     last: BTreeMap<u16, Association>,
-    /// Calls of the client that wait or stand, and whether they were answered.
+    /// Pending and established calls of the client, and whether they were answered.
     offered: BTreeMap<CallRef, bool>,
-    /// Our calls to the server, and whether they stand; how many set-ups were asked for and written.
-    ours: BTreeMap<CallRef, bool>,
-    asked: usize,
-    written: usize,
-    over: BTreeSet<CallRef>,
+    /// Calls to the server, and whether they are established.
+    outgoing: BTreeMap<CallRef, bool>,
+    /// The number of set-ups requested, and of those written.
+    requested_set_ups: usize,
+    written_set_ups: usize,
+    ended: BTreeSet<CallRef>,
     broadcast: bool,
 }
 
@@ -166,11 +172,11 @@
     fn handle(&mut self, event: Event) {
         self.office.handle(self.now, event);
         for effect in self.office.take_effects() {
-            self.judge(effect);
+            self.check(effect);
         }
     }
 
-    fn judge(&mut self, effect: Effect) {
+    fn check(&mut self, effect: Effect) {
         match effect {
             Effect::Write(to, bytes) => self.write(to, &bytes),
             Effect::Close(association) => {
@@ -183,24 +189,24 @@
             }
             Effect::Offer { call, .. } => {
                 assert!(
-                    self.offered.insert(call, false).is_none() && !self.over.contains(&call),
+                    self.offered.insert(call, false).is_none() && !self.ended.contains(&call),
                     "offered twice"
                 );
             }
             Effect::Abandoned { call, .. } => {
                 assert!(self.offered.remove(&call).is_some(), "ended twice, or never offered");
-                assert!(self.over.insert(call));
+                assert!(self.ended.insert(call));
             }
-            // Whoever uses it drops what waits for an answer then.
+            // The call agent drops unanswered calls when their peer is lost.
             Effect::ClientLost(_) => self.offered.retain(|_, answered| *answered),
-            Effect::ServerLost(_) => self.ours.retain(|_, stands| *stands),
+            Effect::ServerLost(_) => self.outgoing.retain(|_, established| *established),
             Effect::Answered { call, .. } => {
-                let stands = self.ours.get_mut(&call).expect("it is open");
-                assert!(!std::mem::replace(stands, true), "answered twice");
+                let established = self.outgoing.get_mut(&call).expect("an answered call was set up");
+                assert!(!std::mem::replace(established, true), "answered twice");
             }
             Effect::Ended { call, .. } | Effect::NoCircuit { call, .. } => {
-                assert!(self.ours.remove(&call).is_some(), "ended twice");
-                assert!(self.over.insert(call));
+                assert!(self.outgoing.remove(&call).is_some(), "ended twice");
+                assert!(self.ended.insert(call));
             }
             _ => {}
         }
@@ -213,7 +219,7 @@
             [4, 3] => {
                 self.active.insert(to);
             }
-            // ASPUP ACK, ASPDN ACK and ASPIA ACK; NTFY that another ASP has taken over.
+            // ASPUP ACK, ASPDN ACK and ASPIA ACK; below, NTFY (alternate ASP active).
             [3, 4] | [3, 5] | [4, 4] => {
                 self.active.remove(&to);
             }
@@ -234,12 +240,12 @@
             }
         }
         if !client && kind == IAM {
-            self.written += 1;
-            assert!(self.written <= self.asked, "a set-up was sent twice");
+            self.written_set_ups += 1;
+            assert!(self.written_set_ups <= self.requested_set_ups, "a set-up was sent twice");
         }
     }
 
-    fn say(&mut self, slot: usize, what: u8) {
+    fn signal(&mut self, slot: usize, what: u8) {
         let Some(from) = self.slots[slot] else { return };
         let context: &[u8] = if Self::is_server(slot) { &[0, 0, 0, 7] } else { &[0, 0, 0, 1] };
         let bytes = match (Self::is_server(slot), what) {
@@ -253,7 +259,7 @@
             (true, _) => message(4, 4, Some((6, context))),
         };
         if Self::is_server(slot) {
-            // What the server says counts at once; whether it made sense then, the engine knows.
+            // The expected state follows the server's message at once, whether the engine accepts it or not.
             match what {
                 2 => {
                     self.active.insert(from);
@@ -287,10 +293,10 @@
                     self.handle(Event::Closed(association));
                 }
             }
-            Step::Say(slot, what) => self.say(slot, what),
-            Step::Call(slot, circuit, kind) => {
+            Step::Signal(slot, what) => self.signal(slot, what),
+            Step::Isup(slot, circuit, kind) => {
                 if let Some(from) = self.slots[slot] {
-                    let origin = if Self::is_server(slot) { SERVER } else { CLIENT };
+                    let origin = if Self::is_server(slot) { SERVER_POINT_CODE } else { CLIENT_POINT_CODE };
                     if kind == RLC || kind == REL || kind == RSC {
                         self.last.remove(&circuit);
                     }
@@ -298,9 +304,9 @@
                 }
             }
             Step::SetUp => {
-                self.asked += 1;
-                let call = CallRef(self.asked as u64);
-                self.ours.insert(call, false);
+                self.requested_set_ups += 1;
+                let call = CallRef(self.requested_set_ups as u64);
+                self.outgoing.insert(call, false);
                 let set_up = SetUp { category: 10, number: "60312".into(), ..SetUp::default() };
                 self.handle(Event::SetUp { server: 0, call, set_up });
             }
@@ -313,13 +319,13 @@
                 }
             }
             Step::Release(which) => {
-                let calls: Vec<CallRef> = self.offered.keys().chain(self.ours.keys()).copied().collect();
+                let calls: Vec<CallRef> = self.offered.keys().chain(self.outgoing.keys()).copied().collect();
                 if let Some(&call) = calls.get(which % calls.len().max(1)) {
-                    let theirs = self.offered.remove(&call).is_some();
-                    self.ours.remove(&call);
-                    self.over.insert(call);
+                    let is_incoming = self.offered.remove(&call).is_some();
+                    self.outgoing.remove(&call);
+                    self.ended.insert(call);
                     let (cause, congestion) = (Cause::NORMAL, None);
-                    self.handle(match theirs {
+                    self.handle(match is_incoming {
                         true => Event::Release { client: 0, call, cause, congestion },
                         false => Event::ReleaseToServer { server: 0, call, cause },
                     });
@@ -337,7 +343,7 @@
     }
 }
 
-fn play(mode: TrafficMode, steps: Vec<Step>) {
+fn run(mode: TrafficMode, steps: Vec<Step>) {
     let mut checker = Checker {
         office: office(mode),
         now: 0,
@@ -347,25 +353,25 @@
         active: BTreeSet::new(),
         last: BTreeMap::new(),
         offered: BTreeMap::new(),
-        ours: BTreeMap::new(),
-        asked: 0,
-        written: 0,
-        over: BTreeSet::new(),
+        outgoing: BTreeMap::new(),
+        requested_set_ups: 0,
+        written_set_ups: 0,
+        ended: BTreeSet::new(),
         broadcast: mode == TrafficMode::Broadcast,
     };
     steps.into_iter().for_each(|step| checker.step(step));
-    // An ASP that comes up and resets all leaves nothing behind.
+    // After an ASP has come up and reset all circuits, no call is left.
     for slot in 0..SLOTS {
         checker.step(Step::Close(slot));
     }
     checker.step(Step::Open(0));
-    checker.step(Step::Say(0, 0));
-    checker.step(Step::Say(0, 2));
+    checker.step(Step::Signal(0, 0));
+    checker.step(Step::Signal(0, 2));
     for circuit in 1..=4 {
-        checker.step(Step::Call(0, circuit, RSC));
-        checker.step(Step::Call(0, circuit, RLC));
+        checker.step(Step::Isup(0, circuit, RSC));
+        checker.step(Step::Isup(0, circuit, RLC));
     }
-    assert!(checker.offered.is_empty(), "calls that nothing ended");
+    assert!(checker.offered.is_empty(), "calls were not ended");
     assert!(checker.office.clients()[0].states().is_empty(), "{:?}", checker.office.clients()[0].states());
 }
 
@@ -373,7 +379,7 @@
     #![proptest_config(ProptestConfig::with_cases(3_000))]
 
     #[test]
-    fn whatever_associations_do_traffic_keeps_its_rules(
+    fn traffic_follows_active_associations_and_calls_end_once(
         mode in prop::sample::select(vec![
             TrafficMode::Override,
             TrafficMode::Loadshare,
@@ -381,6 +387,6 @@
         ]),
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        play(mode, steps);
+        run(mode, steps);
     }
 }
