--- a/agent/src/net/owner.rs
+++ b/agent/src/net/owner.rs
@@ -425,7 +425,7 @@
 
     /// Tests a connection, where the settings allow it.
     fn test(&mut self, link: LinkId) {
-        if !self.shared.site.decisions.limits.probes {
+        if !self.shared.site.decisions.limits.may_probe {
             return;
         }
         let (now, call) = (self.shared.clock.now(), self.shared.new_call());
--- a/agent/src/net/owner/tests.rs
+++ b/agent/src/net/owner/tests.rs
@@ -24,7 +24,7 @@
 
 /// An owner with one caller and one server, whose connections the test holds; the call was made.
 fn with_call() -> (Owner, Inbox<ToClient>, LinkId, Inbox<ToServer>) {
-    let class = steprelay_decisions::Class { slo: 1_000_000, idempotent: true, ..Default::default() };
+    let class = steprelay_decisions::Class { slo: 1_000_000, is_idempotent: true, ..Default::default() };
     let decisions = Settings { group_size: 1, classes: vec![class], ..Settings::default() };
     let site = Site { decisions, class_names: vec!["standard-check".into()], ..Site::default() };
     let shared = Shared::new(Clock::start(), Rc::new(site.clone()), mpsc::channel(1).0);
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -17,13 +17,13 @@
 
 impl Stand {
     fn new() -> Self {
-        let class = Class { slo: 1_500 * MS, importance: 1.0, idempotent: true, ..Class::default() };
+        let class = Class { slo: 1_500 * MS, importance: 1.0, is_idempotent: true, ..Class::default() };
         let decisions = Settings {
             group_size: 1,
             classes: vec![class],
             limits: Limits {
-                cancel: true,
-                retry_after: true,
+                may_cancel: true,
+                may_send_retry_after: true,
                 max_retry_after: 2_000 * MS,
                 max_attempts: 5,
                 ..Limits::default()
--- a/rig/tests/delivery/process.rs
+++ b/rig/tests/delivery/process.rs
@@ -58,7 +58,7 @@
 }
 
 fn site() -> Site {
-    let class = Class { slo: DEADLINE / 2, importance: 1.0, idempotent: true, ..Class::default() };
+    let class = Class { slo: DEADLINE / 2, importance: 1.0, is_idempotent: true, ..Class::default() };
     let decisions =
         Settings { group_size: 3, classes: vec![class], retry_delay: 200_000, ..Settings::default() };
     Site {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -42,13 +42,13 @@
 
 /// Parses the controller's part of the settings.
 pub fn decision_settings(all: &Value) -> Settings {
-    let (limits, rules, facts) = (&all["policyLimits"], &all["rules"], &all["specifics"]);
-    let (allowed, holds) = (list(&facts["allowedPools"]), list(&facts["meanHoldMs"]));
+    let (limits, rules, specifics) = (&all["policyLimits"], &all["rules"], &all["specifics"]);
+    let (allowed, holds) = (list(&specifics["allowedPools"]), list(&specifics["meanHoldMs"]));
     let class = |(index, class): (usize, &Value)| Class {
         slo: time(&class["sloMs"]),
         importance: number(&class["importance"]),
         late_factor: number(&class["lateShare"]),
-        idempotent: class["idempotency"].as_str() == Some("idempotent"),
+        is_idempotent: class["idempotency"].as_str() == Some("idempotent"),
         allowed_servers: allowed
             .get(index)
             .and_then(Value::as_array)
@@ -66,10 +66,10 @@
         over_quota_factor: number(&all["overShareWorth"]),
         subscribe_to_list: all["discovery"].as_str() == Some("subscribe"),
         limits: Limits {
-            cancel: flag(&limits["cancel"]),
-            peers: flag(&limits["peers"]),
-            probes: flag(&limits["mayProbe"]),
-            retry_after: flag(&limits["retryAfter"]),
+            may_cancel: flag(&limits["cancel"]),
+            may_message_peers: flag(&limits["peers"]),
+            may_probe: flag(&limits["mayProbe"]),
+            may_send_retry_after: flag(&limits["retryAfter"]),
             max_retry_after: time(&limits["maxRetryAfterMs"]),
             max_attempts: count(&limits["tryLimit"]),
         },
@@ -80,11 +80,11 @@
             overload_multiple: number(&rules["fallMultiple"]),
             overload_duration: time(&rules["fallMs"]),
         },
-        retry_delay: time(&facts["clearWaitMs"]),
-        t1: time(&facts["t1Ms"]),
+        retry_delay: time(&specifics["clearWaitMs"]),
+        t1: time(&specifics["t1Ms"]),
         load_unreported: is_load_unreported(&all["report"]),
         callers_mark_redials: flag(&all["clientHabits"]["marksRetry"]),
-        home_number: whole(&facts["homeNo"]),
+        home_number: whole(&specifics["homeNo"]),
     }
 }
 
--- a/settings/tests/check.rs
+++ b/settings/tests/check.rs
@@ -93,7 +93,7 @@
         (0.0, 0.0, 0, 0)
     );
     assert_eq!((site.deadlines, site.dial_timeout, site.max_open, site.drain_grace), (vec![0], 0, 0, 0));
-    assert!(!limits.cancel && !limits.probes && !limits.retry_after);
+    assert!(!limits.may_cancel && !limits.may_probe && !limits.may_send_retry_after);
 }
 
 #[test]
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -186,7 +186,7 @@
             let tenant = fields.number_or("project", 0)?;
             let class = fields.number("cls")?;
             let remaining = fields.time("remainingMs")?;
-            let (is_redial, in_transit, was_cut) = (bits & 2 != 0, bits & 8 != 0, bits & 16 != 0);
+            let (is_redial, is_in_transit, was_cut) = (bits & 2 != 0, bits & 8 != 0, bits & 16 != 0);
             Event::Call(Call {
                 id,
                 class,
@@ -196,7 +196,7 @@
                 remaining,
                 is_redial,
                 was_cut,
-                in_transit,
+                is_in_transit,
             })
         }
         "ack_first" => {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -93,9 +93,9 @@
         let expected = self.established * (-seconds(span) / seconds(hold)).exp();
         // A deficit beyond chance means that calls were cut, which says nothing about the server's
         // throughput. Smaller deficits enter the averages, which would be biased upwards without them.
-        let cut = established < expected - CHANCE_DEVIATIONS * expected.sqrt();
-        let newly_established = if cut { 0.0 } else { established - expected };
-        if !cut {
+        let were_cut = established < expected - CHANCE_DEVIATIONS * expected.sqrt();
+        let newly_established = if were_cut { 0.0 } else { established - expected };
+        if !were_cut {
             let weight = |window: Micros| 1.0 - (-seconds(span) / seconds(window)).exp();
             self.throughput +=
                 (newly_established / seconds(span) - self.throughput) * weight(THROUGHPUT_WINDOW);
@@ -122,7 +122,7 @@
 struct Server {
     number: u32,
     /// The server is neither draining nor gone.
-    ready: bool,
+    is_ready: bool,
     started: Option<Micros>,
     /// When a restart was detected from its lines, which may be before the server list shows it.
     restart_detected_at: Option<Micros>,
@@ -192,7 +192,7 @@
     /// Whether the present throughput represents the usual one: a server that is draining, gone or cold takes
     /// less.
     fn has_usual_throughput(&self, rules: &Rules, now: Micros) -> bool {
-        self.ready && self.warm_up_level(rules, now).is_none()
+        self.is_ready && self.warm_up_level(rules, now).is_none()
     }
 
     /// Returns the image that is in force. An expired image stays in force until a sign shows no pressure.
@@ -231,7 +231,7 @@
 struct OpenCall {
     class: usize,
     dest: u32,
-    in_transit: bool,
+    is_in_transit: bool,
     /// When the caller gives up.
     deadline: Micros,
     arrived_at: Micros,
@@ -332,7 +332,7 @@
     /// Whether the controller sends no set-ups to a server because it is unknown, not ready or failed
     /// recently.
     pub fn avoids(&self, now: Micros, server: ServerId) -> bool {
-        self.servers.get(&server).is_none_or(|server| !server.ready || server.avoided_until > now)
+        self.servers.get(&server).is_none_or(|server| !server.is_ready || server.avoided_until > now)
     }
 
     fn dispatch(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
@@ -403,7 +403,7 @@
                 server.failures = 0;
             }
             server.number = entry.number;
-            server.ready = entry.state == Readiness::Ready;
+            server.is_ready = entry.state == Readiness::Ready;
             server.started = entry.started;
         }
     }
@@ -458,7 +458,7 @@
         let open = OpenCall {
             class: call.class,
             dest: call.dest,
-            in_transit: call.in_transit,
+            is_in_transit: call.is_in_transit,
             deadline: now + call.remaining.max(0),
             arrived_at: now,
             answer_within,
@@ -490,10 +490,10 @@
         let mut choices: Vec<(ServerId, f64)> = Vec::new();
         let mut first = None;
         for (server, state) in &self.servers {
-            let usable = state.ready
+            let usable = state.is_ready
                 && Some(state.number) != self.settings.home_number
                 && allowed.is_none_or(|numbers| numbers.contains(&state.number))
-                && (!open.in_transit || state.number == open.dest)
+                && (!open.is_in_transit || state.number == open.dest)
                 && if back { open.reset_by.contains(server) } else { !open.tried.contains(server) }
                 && state.avoided_until <= now;
             // A set-up that the server cannot answer in time would only delay those that it can.
@@ -525,12 +525,12 @@
         let Some(open) = self.calls.get(&id) else { return };
         let (mut choices, mut first) = self.candidates(now, open, false);
         let (dest, deadline, importance) = (open.dest, open.deadline, open.importance);
-        let late = now >= deadline || open.attempts >= self.settings.limits.max_attempts.max(1);
+        let is_too_late = now >= deadline || open.attempts >= self.settings.limits.max_attempts.max(1);
         let mut picked = None;
         // The servers that reset the call are the last resort. They are tried again because the other servers
         // cannot take all of many set-ups that are reset at once.
         let mut back = self.candidates(now, open, true).0;
-        if late {
+        if is_too_late {
             choices.clear();
             back.clear();
         }
@@ -833,7 +833,7 @@
     /// lost when the server has answered one that was sent sufficiently later. This protects against servers
     /// and links that drop set-ups or answers; it does harm where a server answers far out of order.
     fn cancel_lost_attempts(&mut self, now: Micros, server: ServerId, actions: &mut Vec<Action>) {
-        if !self.settings.limits.cancel {
+        if !self.settings.limits.may_cancel {
             return;
         }
         let tolerance = self.pressure_threshold as Micros;
@@ -962,8 +962,8 @@
             }
         }
         let (caller_gone, class, deadline) = (open.caller_gone, open.class, open.deadline);
-        let busy = outcome == Outcome::Error && cause == Cause::NumberBusy;
-        let called_number = if busy { open.called_number.clone() } else { String::new() };
+        let is_number_busy = outcome == Outcome::Error && cause == Cause::NumberBusy;
+        let called_number = if is_number_busy { open.called_number.clone() } else { String::new() };
         if pressed {
             self.update_image(now, server, true);
         }
@@ -971,14 +971,14 @@
             self.calls.remove(&id);
             return;
         }
-        let idempotent = self.settings.classes.get(class).is_some_and(|class| class.idempotent);
+        let is_idempotent = self.settings.classes.get(class).is_some_and(|class| class.is_idempotent);
         let may_have_run = !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent);
-        if busy {
+        if is_number_busy {
             let number = self.busy_numbers.entry(called_number).or_default();
             number.back_off = (2 * number.back_off).clamp(SECOND / 4, 2 * SECOND);
             number.refused_until = now + number.back_off;
         }
-        if busy || (may_have_run && !idempotent) {
+        if is_number_busy || (may_have_run && !is_idempotent) {
             self.calls.remove(&id);
             actions.push(Action::Fail { call: id });
             return;
@@ -1029,7 +1029,7 @@
         open.caller_gone = true;
         if open.attempt_sent_at.is_none() {
             self.calls.remove(&id);
-        } else if self.settings.limits.cancel && !open.is_established {
+        } else if self.settings.limits.may_cancel && !open.is_established {
             actions.push(Action::Cancel { call: id, attempt: open.attempts - 1 });
         }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -51,7 +51,7 @@
     /// Factor on the importance of a call that is answered later than the target.
     pub late_factor: f64,
     /// Another attempt is harmless after one that the server may have executed.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// Numbers of the servers that may take its calls; `None` allows all.
     pub allowed_servers: Option<Vec<u32>>,
     /// Mean duration of an established call.
@@ -69,13 +69,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub may_cancel: bool,
     /// Controllers may exchange messages.
-    pub peers: bool,
+    pub may_message_peers: bool,
     /// Servers may be probed.
-    pub probes: bool,
+    pub may_probe: bool,
     /// A refusal may name the time after which the caller may try again.
-    pub retry_after: bool,
+    pub may_send_retry_after: bool,
     /// Upper bound of that time.
     pub max_retry_after: Micros,
     /// Maximum number of attempts of a call; 0 counts as 1.
@@ -86,7 +86,7 @@
     /// Returns the retry-after time of a refusal, bounded by `max_retry_after`, or `None` where refusals may
     /// not carry one.
     pub fn capped_retry_after(&self, wait: Micros) -> Option<Micros> {
-        self.retry_after.then_some(wait.min(self.max_retry_after))
+        self.may_send_retry_after.then_some(wait.min(self.max_retry_after))
     }
 }
 
@@ -148,7 +148,6 @@
     pub tenant: usize,
     /// Number of the preferred server.
     pub dest: u32,
-    /// The called number.
     pub called_number: String,
     /// Time until the caller gives up this try.
     pub remaining: Micros,
@@ -157,7 +156,7 @@
     /// The call was established before, was cut and is set up again.
     pub was_cut: bool,
     /// The call is in transit from another node and may go to its destination only.
-    pub in_transit: bool,
+    pub is_in_transit: bool,
 }
 
 /// Result of an attempt.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! let settings = Settings {
 //!     group_size: 1,
-//!     classes: vec![Class { slo: 1_500_000, importance: 1.0, idempotent: true, ..Class::default() }],
+//!     classes: vec![Class { slo: 1_500_000, importance: 1.0, is_idempotent: true, ..Class::default() }],
 //!     ..Settings::default()
 //! };
 //! let mut controller = Controller::new(settings, 7, 0);
@@ -20,7 +20,7 @@
 //! actions.clear();
 //! let call = Call {
 //!     id: CallId(1), class: 0, tenant: 0, dest: 0, called_number: "line-1".into(), remaining: 3_000_000,
-//!     is_redial: false, was_cut: false, in_transit: false,
+//!     is_redial: false, was_cut: false, is_in_transit: false,
 //! };
 //! controller.handle(1_000, Event::Call(call), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { call: CallId(1), server: ServerId(40), .. }));
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -160,7 +160,7 @@
             overload_multiple: site.overload_multiple,
             overload_duration: site.overload_duration,
         };
-        settings.limits.cancel = false;
+        settings.limits.may_cancel = false;
         settings.classes.iter_mut().for_each(|class| class.mean_hold_time = site.mean_hold_time);
         settings.classes[1].importance = site.importance;
         self.random = self.random.wrapping_add(1);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,7 +17,7 @@
                 slo: 1_200 * MS,
                 importance: 1.0,
                 late_factor: 0.2,
-                idempotent: true,
+                is_idempotent: true,
                 allowed_servers: None,
                 mean_hold_time: 0,
             },
@@ -25,13 +25,13 @@
                 slo: 1_200 * MS,
                 importance: 6.0,
                 late_factor: 0.2,
-                idempotent: true,
+                is_idempotent: true,
                 allowed_servers: None,
                 mean_hold_time: 0,
             },
         ],
         over_quota_factor: 0.2,
-        limits: Limits { cancel: true, max_attempts: 4, ..Limits::default() },
+        limits: Limits { may_cancel: true, max_attempts: 4, ..Limits::default() },
         rules: Rules {
             list_poll_interval: 10 * SECOND,
             start_capacity: 0.3,
@@ -174,7 +174,7 @@
         remaining: 3 * SECOND,
         is_redial: false,
         was_cut: false,
-        in_transit: false,
+        is_in_transit: false,
     }
 }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -257,7 +257,7 @@
     );
 
     let mut without_timers = settings();
-    (without_timers.retry_delay, without_timers.t1, without_timers.limits.cancel) = (0, 0, false);
+    (without_timers.retry_delay, without_timers.t1, without_timers.limits.may_cancel) = (0, 0, false);
     let mut harness = Harness::new(without_timers, 40);
     let (id, actions) = harness.call(0, 7);
     assert_eq!(sent_to(&actions), Some(server_id(7)));
--- a/tests/group.rs
+++ b/tests/group.rs
@@ -37,7 +37,7 @@
 
     fn with_reports(size: usize, reports_wait: bool) -> Self {
         let mut config = Settings { group_size: size as u32, load_unreported: !reports_wait, ..settings() };
-        config.limits.cancel = false;
+        config.limits.may_cancel = false;
         config.classes.iter_mut().for_each(|class| class.mean_hold_time = HOLD_TIME);
         let now = 77 * SECOND;
         let nodes =
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -136,8 +136,8 @@
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (random >> 33) % limit
     };
-    config.limits.cancel = below(4) > 0;
-    config.limits.retry_after = below(2) == 0;
+    config.limits.may_cancel = below(4) > 0;
+    config.limits.may_send_retry_after = below(2) == 0;
     config.limits.max_retry_after = 2 * SECOND;
     config.retry_delay = [0, 200 * MS, config.retry_delay][below(3) as usize];
     config.t1 = [0, config.t1][below(2) as usize];
