--- a/src/controller.rs
+++ b/src/controller.rs
@@ -635,7 +635,8 @@
             }
             threshold = server.cold_threshold;
         } else if server.cold_threshold_until > 0 {
-            // The server is warm now; the tokens that many nodes have accrued are spent spread out, too.
+            // The server is warm now. A random reduction spreads out the use of the tokens that many nodes
+            // have accrued.
             (server.tokens, server.cold_threshold_until) = (server.tokens - threshold, 0);
         }
         let accrued = bound * seconds((now - server.tokens_at).max(0));
--- a/tests/gapping.rs
+++ b/tests/gapping.rs
@@ -184,8 +184,8 @@
 #[test]
 fn calls_established_before_the_first_report_are_not_a_burst() {
     let mut harness = Harness::new(settings(), 1);
-    let lines = |standing: f64| Report {
-        free_lines: Some(300.0 - standing),
+    let lines = |established: f64| Report {
+        free_lines: Some(300.0 - established),
         total_lines: Some(300.0),
         ..wait_report(0.0)
     };
--- a/tests/group.rs
+++ b/tests/group.rs
@@ -211,19 +211,19 @@
             // Tokens that accrue without calls are not spent at once either.
             group.run(idle, 0.0, 24.0);
             // The server fails at twice its capacity for 1.5 s: 72 set-ups while it has 0.3 of 80/s.
-            let mut in_all = 0.0;
+            let mut total_sent = 0.0;
             for window in 0..5 {
-                let warmed = 1.0 + 0.7 / 0.3 * idle as f64 / (13 * SECOND) as f64;
+                let capacity_growth = 1.0 + 0.7 / 0.3 * idle as f64 / (13 * SECOND) as f64;
                 let (sent, _) = group.run(1_500 * MS, 1_500.0, 24.0);
-                let most = if known { 72.0 * warmed } else { 12.0 };
+                let max_sent = if known { 72.0 * capacity_growth } else { 12.0 };
                 let case = format!("{size} nodes, known {known}, upgraded {upgraded}, window {window}");
-                assert!(sent * 1.5 < most, "{case}: {}", sent * 1.5);
-                in_all += if window > 0 { sent * 1.5 } else { 0.0 };
+                assert!(sent * 1.5 < max_sent, "{case}: {}", sent * 1.5);
+                total_sent += if window > 0 { sent * 1.5 } else { 0.0 };
             }
             // The server is not idle either, however little traffic each node has: two fifths of that are
             // sent.
-            let used = !known || idle > 0 || in_all > 0.4 * 4.0 * 72.0;
-            assert!(used, "{size} nodes, upgraded {upgraded}: {in_all} in four windows");
+            let is_utilized = !known || idle > 0 || total_sent > 0.4 * 4.0 * 72.0;
+            assert!(is_utilized, "{size} nodes, upgraded {upgraded}: {total_sent} set-ups in four windows");
         }
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -102,13 +102,13 @@
 
 #[test]
 fn a_restart_is_detected_before_the_list_shows_it() {
-    let lines = |standing: f64| Report {
-        free_lines: Some(500.0 - standing),
+    let lines = |established: f64| Report {
+        free_lines: Some(500.0 - established),
         total_lines: Some(500.0),
         ..Report::default()
     };
-    let reports_restart = |harness: &mut Harness, standing: f64| {
-        let actions = harness.report(server_id(0), lines(standing));
+    let reports_restart = |harness: &mut Harness, established: f64| {
+        let actions = harness.report(server_id(0), lines(established));
         harness.advance(SECOND);
         actions.iter().any(|action| matches!(action, Action::Log(_)))
     };
@@ -174,8 +174,8 @@
         });
         let mut ending: Vec<CallId> = Vec::new();
         for (id, state) in &calls {
-            let late = state.deadline <= now && !state.is_established;
-            if state.attempt.is_some() && (late || below(12) == 0) {
+            let is_overdue = state.deadline <= now && !state.is_established;
+            if state.attempt.is_some() && (is_overdue || below(12) == 0) {
                 ending.push(*id);
             }
         }
