--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -102,13 +102,13 @@
 
 #[test]
 fn a_restart_is_detected_before_the_list_shows_it() {
-    let lines = |standing: f64| Report {
-        free_lines: Some(500.0 - standing),
+    let lines = |established: f64| Report {
+        free_lines: Some(500.0 - established),
         total_lines: Some(500.0),
         ..Report::default()
     };
-    let reports_restart = |harness: &mut Harness, standing: f64| {
-        let actions = harness.report(server_id(0), lines(standing));
+    let reports_restart = |harness: &mut Harness, established: f64| {
+        let actions = harness.report(server_id(0), lines(established));
         harness.advance(SECOND);
         actions.iter().any(|action| matches!(action, Action::Log(_)))
     };
@@ -136,8 +136,8 @@
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (random >> 33) % limit
     };
-    config.limits.cancel = below(4) > 0;
-    config.limits.retry_after = below(2) == 0;
+    config.limits.may_cancel = below(4) > 0;
+    config.limits.may_send_retry_after = below(2) == 0;
     config.limits.max_retry_after = 2 * SECOND;
     config.retry_delay = [0, 200 * MS, config.retry_delay][below(3) as usize];
     config.t1 = [0, config.t1][below(2) as usize];
@@ -174,8 +174,8 @@
         });
         let mut ending: Vec<CallId> = Vec::new();
         for (id, state) in &calls {
-            let late = state.deadline <= now && !state.is_established;
-            if state.attempt.is_some() && (late || below(12) == 0) {
+            let is_overdue = state.deadline <= now && !state.is_established;
+            if state.attempt.is_some() && (is_overdue || below(12) == 0) {
                 ending.push(*id);
             }
         }
