--- a/core/src/validate.rs
+++ b/core/src/validate.rs
@@ -48,7 +48,7 @@
             remaining,
             is_redial: false,
             was_cut: request.was_cut,
-            in_transit: false,
+            is_in_transit: false,
         })
     }
 
