--- a/agent/src/conformance.rs
+++ b/agent/src/conformance.rs
@@ -101,7 +101,7 @@
             [Body::ResetCircuit, Body::ReleaseComplete, Body::Unblock].map(|body| (circuit, body))
         });
         for (circuit, body) in resets.chain(groups) {
-            let user = Message::new(circuit, body).to_bytes();
+            let payload = Message::new(circuit, body).to_bytes();
             let (origin, destination) = (conformance::TESTER_POINT_CODE, conformance::SUBJECT_POINT_CODE);
             let data = ProtocolData {
                 origin,
@@ -109,7 +109,7 @@
                 service: m3ua::ISUP,
                 network: 2,
                 selection: 0,
-                user: &user,
+                payload: &payload,
             };
             connection.send(&data.message(conformance::ROUTING_CONTEXT, None).expect("it is short"));
         }
@@ -132,12 +132,12 @@
 fn confirmation(bytes: &[u8]) -> Option<Vec<u8>> {
     let message = m3ua::Message::read(bytes).ok()?;
     let data = ProtocolData::read(message.parameter(tag::PROTOCOL_DATA)?).ok()?;
-    let Message { circuit, body } = Message::read(data.user).ok()?;
+    let Message { circuit, body } = Message::read(data.payload).ok()?;
     if !matches!(body, Body::ResetCircuit | Body::Release { .. }) {
         return None;
     }
-    let user = Message::new(circuit, Body::ReleaseComplete).to_bytes();
-    let data = ProtocolData { origin: data.destination, destination: data.origin, user: &user, ..data };
+    let payload = Message::new(circuit, Body::ReleaseComplete).to_bytes();
+    let data = ProtocolData { origin: data.destination, destination: data.origin, payload: &payload, ..data };
     data.message(conformance::ROUTING_CONTEXT, None)
 }
 
--- a/signalling/benches/codec.rs
+++ b/signalling/benches/codec.rs
@@ -50,16 +50,16 @@
     bencher.bench(|| Message::read(black_box(&bytes)));
 }
 
-fn data(user: &[u8]) -> Vec<u8> {
+fn data(payload: &[u8]) -> Vec<u8> {
     let (service, network, selection) = (m3ua::ISUP, 2, 5);
-    let data = ProtocolData { origin: 2001, destination: 1001, service, network, selection, user };
+    let data = ProtocolData { origin: 2001, destination: 1001, service, network, selection, payload };
     data.message(1, None).expect("it fits")
 }
 
 #[divan::bench(args = NAMES)]
 fn m3ua_write(bencher: Bencher, name: &str) {
-    let user = Message::new(5, body(name)).to_bytes();
-    bencher.bench(|| data(black_box(&user)));
+    let payload = Message::new(5, body(name)).to_bytes();
+    bencher.bench(|| data(black_box(&payload)));
 }
 
 #[divan::bench(args = NAMES)]
@@ -68,7 +68,7 @@
     bencher.bench(|| {
         let message = m3ua::Message::read(black_box(&bytes)).expect("well formed");
         let data = ProtocolData::read(message.parameter(tag::PROTOCOL_DATA).expect("it is there"));
-        data.expect("well formed").user.len()
+        data.expect("well formed").payload.len()
     });
 }
 
--- a/signalling/src/conformance.rs
+++ b/signalling/src/conformance.rs
@@ -210,16 +210,16 @@
         }
         if let Some(call) = rest.strip_prefix("call ") {
             let (circuit, kind, body) = parse_call_message(call, bodies)?;
-            let mut user = circuit.to_le_bytes().to_vec();
-            user.push(kind);
-            user.extend(body.iter().map(|octet| octet.unwrap_or_default()));
+            let mut payload = circuit.to_le_bytes().to_vec();
+            payload.push(kind);
+            payload.extend(body.iter().map(|octet| octet.unwrap_or_default()));
             let data = ProtocolData {
                 origin: TESTER_POINT_CODE,
                 destination: SUBJECT_POINT_CODE,
                 service: m3ua::ISUP,
                 network: 2,
                 selection: circuit as u8 & 0x0f,
-                user: &user,
+                payload: &payload,
             };
             return Ok(Step::Send(connection, data.message(ROUTING_CONTEXT, None).ok_or("too long")?));
         }
@@ -503,7 +503,7 @@
                 let data = message.parameter(m3ua::tag::PROTOCOL_DATA).ok_or_else(got)?;
                 let data = ProtocolData::read(data).map_err(|fault| format!("{}: {fault}", got()))?;
                 let head = [circuit.to_le_bytes()[0], circuit.to_le_bytes()[1], *kind];
-                let rest = data.user.strip_prefix(&head).ok_or_else(got)?;
+                let rest = data.payload.strip_prefix(&head).ok_or_else(got)?;
                 let is_match = rest.len() >= body.len()
                     && body
                         .iter()
--- a/signalling/src/m3ua/asp.rs
+++ b/signalling/src/m3ua/asp.rs
@@ -51,7 +51,7 @@
     Closed(Association),
     Send {
         circuit: Circuit,
-        user: &'a [u8],
+        payload: &'a [u8],
     },
     /// A circuit has become idle: its next message may use another association.
     Idle {
@@ -69,7 +69,7 @@
     Close(Association),
     Deliver {
         association: Association,
-        user: Vec<u8>,
+        payload: Vec<u8>,
     },
     /// The first association has become active.
     Up,
@@ -167,11 +167,13 @@
         ErrorCode::ALL.into_iter().zip(self.errors)
     }
 
+    /// When [`Event::Timeout`] is due next.
     pub fn next_timeout(&self) -> Option<Micros> {
         let acks = self.associations.values().filter_map(|entry| Some(entry.pending?.deadline));
         acks.chain(self.next_audit).min()
     }
 
+    /// Handles an event; the results are in [`Asp::take_effects`].
     pub fn handle(&mut self, now: Micros, event: Event) {
         match event {
             Event::Opened(association) => {
@@ -192,11 +194,11 @@
                     return;
                 }
                 if let Err(error) = self.handle_message(now, association, bytes) {
-                    self.refuse(association, error, bytes);
+                    self.send_error(association, error, bytes);
                 }
             }
             Event::Closed(association) => self.remove(now, association),
-            Event::Send { circuit, user } => self.send(circuit, user),
+            Event::Send { circuit, payload } => self.send(circuit, payload),
             Event::Idle { circuit } => {
                 self.bindings.remove(&circuit);
             }
@@ -211,7 +213,7 @@
     }
 
     /// Replies to a message with ERR, which quotes the start of the message. ERR is never answered with ERR.
-    pub fn refuse(&mut self, association: Association, error: ErrorCode, bytes: &[u8]) {
+    pub fn send_error(&mut self, association: Association, error: ErrorCode, bytes: &[u8]) {
         if !Message::is_error(bytes) {
             self.errors[error.index()] += 1;
             self.effects.push(Effect::Write(association, super::error_message(error, bytes)));
@@ -345,8 +347,8 @@
 
     fn handle_asp_active_ack(&mut self, now: Micros, from: Association) {
         self.set(from, AspState::Active, None);
-        for (circuit, user) in std::mem::take(&mut self.queue) {
-            self.send(circuit, &user);
+        for (circuit, payload) in std::mem::take(&mut self.queue) {
+            self.send(circuit, &payload);
         }
         if std::mem::replace(&mut self.reported_up, true) {
             return;
@@ -388,6 +390,7 @@
         Ok(())
     }
 
+    /// Takes an association out of service and schedules `request` after T(ack).
     fn handle_unsolicited_ack(&mut self, now: Micros, from: Association, request: Kind) {
         let state = if request == Kind::AspUp { AspState::Down } else { AspState::Inactive };
         let pending = PendingRequest { kind: request, deadline: now + self.config.ack_timeout, attempts: 0 };
@@ -454,11 +457,12 @@
         if data.origin != self.config.peer_point_code || data.service != ISUP {
             return Err(ErrorCode::Value);
         }
-        self.effects.push(Effect::Deliver { association: from, user: data.user.to_vec() });
+        self.effects.push(Effect::Deliver { association: from, payload: data.payload.to_vec() });
         Ok(())
     }
 
-    fn send(&mut self, circuit: Circuit, user: &[u8]) {
+    /// Sends DATA by the traffic mode, or queues the message while another association is being activated.
+    fn send(&mut self, circuit: Circuit, payload: &[u8]) {
         let active: Vec<Association> = self
             .associations
             .iter()
@@ -471,12 +475,12 @@
             service: ISUP,
             network: self.config.network,
             selection: (circuit & 0x0f) as u8,
-            user,
+            payload,
         };
         let (to, correlation) = match (self.config.mode, active.first()) {
             (_, None) => {
                 if self.reported_up && self.queue.len() < QUEUE_CAPACITY {
-                    self.queue.push_back((circuit, user.to_vec()));
+                    self.queue.push_back((circuit, payload.to_vec()));
                 } else {
                     self.effects.push(Effect::Dropped { circuit });
                 }
@@ -498,6 +502,7 @@
         }
     }
 
+    /// Sends DAUD for the server's point code on an active association.
     fn send_daud(&mut self) {
         let active = self.associations.iter().find(|(_, entry)| entry.state == AspState::Active);
         if let Some((&association, _)) = active {
@@ -513,6 +518,7 @@
             .then_some(now + self.config.audit_interval);
     }
 
+    /// Repeats unacknowledged requests, closes associations whose attempts are used up, and sends due DAUDs.
     fn timeout(&mut self, now: Micros) {
         let due: Vec<(Association, PendingRequest)> = self
             .associations
--- a/signalling/src/m3ua/gateway.rs
+++ b/signalling/src/m3ua/gateway.rs
@@ -64,7 +64,7 @@
     Send {
         server: usize,
         circuit: Circuit,
-        user: &'a [u8],
+        payload: &'a [u8],
     },
     /// A circuit has become idle: its next message may use another association.
     Idle {
@@ -97,7 +97,7 @@
     Deliver {
         server: usize,
         association: Association,
-        user: Vec<u8>,
+        payload: Vec<u8>,
     },
     /// The AS has become active, for the first time or after T(r) expired.
     Up {
@@ -220,6 +220,7 @@
         std::mem::take(&mut self.effects)
     }
 
+    /// The state of an application server.
     pub fn state(&self, server: usize) -> ServerState {
         self.servers[server].state
     }
@@ -247,8 +248,9 @@
         ErrorCode::ALL.into_iter().zip(self.errors)
     }
 
+    /// When [`Event::Timeout`] is due next.
     pub fn next_timeout(&self) -> Option<Micros> {
-        let coming_up = self
+        let asp_up_deadlines = self
             .asps
             .values()
             .filter(|asp| !asp.is_up)
@@ -257,9 +259,10 @@
             self.asps.values().filter(|_| self.config.heartbeat_interval > 0).map(|asp| asp.next_heartbeat);
         let proofs = self.asps.values().filter_map(|asp| asp.proof_deadline);
         let recovery = self.servers.iter().filter_map(|server| server.recovery_deadline);
-        coming_up.chain(heartbeats).chain(proofs).chain(recovery).min()
+        asp_up_deadlines.chain(heartbeats).chain(proofs).chain(recovery).min()
     }
 
+    /// Handles an event; the results are in [`Gateway::take_effects`].
     pub fn handle(&mut self, now: Micros, event: Event) {
         match event {
             Event::Opened(association) => {
@@ -279,12 +282,12 @@
             Event::Received(association, bytes) => {
                 if self.asps.contains_key(&association) {
                     if let Err(error) = self.handle_message(now, association, bytes) {
-                        self.refuse(association, error, bytes);
+                        self.send_error(association, error, bytes);
                     }
                 }
             }
             Event::Closed(association) => self.remove(now, association),
-            Event::Send { server, circuit, user } => self.send(server, circuit, user),
+            Event::Send { server, circuit, payload } => self.send(server, circuit, payload),
             Event::Idle { server, circuit } => {
                 self.servers[server].bindings.remove(&circuit);
             }
@@ -294,8 +297,8 @@
     }
 
     /// Replies to a message with ERR, which quotes the start of the message.
-    pub fn refuse(&mut self, association: Association, error: ErrorCode, bytes: &[u8]) {
-        // ERR is never answered with ERR: two asps would exchange them without end.
+    pub fn send_error(&mut self, association: Association, error: ErrorCode, bytes: &[u8]) {
+        // ERR is never answered with ERR: two peers would exchange them without end.
         if Message::is_error(bytes) {
             return;
         }
@@ -412,7 +415,7 @@
         }
         self.write(from, super::message(Kind::AspUpAck, &[]));
         if reply == Reply::AckAndError(Kind::AspUpAck) {
-            self.refuse(from, ErrorCode::Unexpected, bytes);
+            self.send_error(from, ErrorCode::Unexpected, bytes);
         }
         for server in named.into_iter().chain(was_active) {
             if self.update_state(now, server, None) || before {
@@ -424,6 +427,7 @@
         Ok(())
     }
 
+    /// Handles ASPDN or the loss of an ASP: its states are dropped and its application servers follow.
     fn take_down(&mut self, now: Micros, from: Association, event: AspEvent) {
         let (_, reply) = states::next_asp_state(AspState::Inactive, event);
         if let Reply::Ack(kind) = reply {
@@ -627,13 +631,14 @@
             } else if before == ServerState::Pending {
                 self.effects.push(Effect::Recovered { server });
             }
-            for (circuit, user) in std::mem::take(&mut self.servers[server].queue) {
-                self.send(server, circuit, &user);
+            for (circuit, payload) in std::mem::take(&mut self.servers[server].queue) {
+                self.send(server, circuit, &payload);
             }
         }
         true
     }
 
+    /// Sends NTFY with the state of an AS to these associations.
     fn notify_state(&mut self, server: usize, to: &[Association]) {
         let Some(status) = self.state(server).status() else { return };
         let context = self.config.servers[server].routing_context;
@@ -704,16 +709,17 @@
             return Ok(());
         }
         if let Some((_, circuit)) =
-            data.user.first_chunk::<2>().map(|bytes| ((), u16::from_le_bytes(*bytes) & 0x0fff))
+            data.payload.first_chunk::<2>().map(|bytes| ((), u16::from_le_bytes(*bytes) & 0x0fff))
         {
             // Replies use the same association while it stays active.
             self.servers[server].bindings.entry(circuit).or_insert(from);
         }
-        self.effects.push(Effect::Deliver { server, association: from, user: data.user.to_vec() });
+        self.effects.push(Effect::Deliver { server, association: from, payload: data.payload.to_vec() });
         Ok(())
     }
 
-    fn send(&mut self, server: usize, circuit: Circuit, user: &[u8]) {
+    /// Sends DATA to an AS by its traffic mode, or queues the message while the AS is pending.
+    fn send(&mut self, server: usize, circuit: Circuit, payload: &[u8]) {
         let active: Vec<Association> = self
             .asps
             .iter()
@@ -724,7 +730,7 @@
         let state = &mut self.servers[server];
         if state.state == ServerState::Pending {
             if state.queue.len() < self.config.queue_capacity {
-                state.queue.push_back((circuit, user.to_vec()));
+                state.queue.push_back((circuit, payload.to_vec()));
             } else {
                 self.effects.push(Effect::Dropped { server, circuit });
             }
@@ -740,7 +746,7 @@
             service: ISUP,
             network: self.config.network,
             selection: (circuit & 0x0f) as u8,
-            user,
+            payload,
         };
         let (to, correlation) = match config.mode {
             TrafficMode::Override => (vec![first], None),
@@ -760,6 +766,7 @@
         }
     }
 
+    /// Sends DUNA, DAVA or DRST for a destination.
     fn send_destination_message(&mut self, to: Association, kind: Kind, affected: AffectedPointCode) {
         self.write(to, message(kind, &[(tag::AFFECTED_POINT_CODE, &affected.word().to_be_bytes())]));
     }
@@ -959,6 +966,7 @@
         self.asp(association).next_heartbeat = now + interval;
     }
 
+    /// Closes associations that have missed ASPUP or heartbeats, sends due BEATs, and ends T(r).
     fn timeout(&mut self, now: Micros) {
         let mut expired = Vec::new();
         let mut to_probe = Vec::new();
--- a/signalling/src/m3ua/mod.rs
+++ b/signalling/src/m3ua/mod.rs
@@ -388,7 +388,7 @@
     /// The signalling link selection: messages with the same value stay in order.
     pub selection: u8,
     /// The user part's message.
-    pub user: &'a [u8],
+    pub payload: &'a [u8],
 }
 
 /// The service indicator of ISUP (Q.704 14.2.1).
@@ -398,21 +398,21 @@
 
 impl<'a> ProtocolData<'a> {
     pub fn read(value: &'a [u8]) -> Result<Self, ErrorCode> {
-        let (label, user) = value.split_first_chunk::<LABEL_LEN>().ok_or(ErrorCode::Field)?;
+        let (label, payload) = value.split_first_chunk::<LABEL_LEN>().ok_or(ErrorCode::Field)?;
         let &[o0, o1, o2, o3, d0, d1, d2, d3, service, network, _, selection] = label;
         let origin = u32::from_be_bytes([o0, o1, o2, o3]);
         let destination = u32::from_be_bytes([d0, d1, d2, d3]);
-        Ok(ProtocolData { origin, destination, service, network, selection, user })
+        Ok(ProtocolData { origin, destination, service, network, selection, payload })
     }
 
     /// Encodes the DATA message that carries this; `None` where it is too long. In broadcast mode a
     /// correlation id identifies the copies of one message.
     pub fn message(&self, routing_context: u32, correlation: Option<u32>) -> Option<Vec<u8>> {
-        let mut value = Vec::with_capacity(LABEL_LEN + self.user.len());
+        let mut value = Vec::with_capacity(LABEL_LEN + self.payload.len());
         value.extend(self.origin.to_be_bytes());
         value.extend(self.destination.to_be_bytes());
         value.extend([self.service, self.network, 0, self.selection]);
-        value.extend(self.user);
+        value.extend(self.payload);
         let builder = MessageBuilder::new(Kind::Data).number(tag::ROUTING_CONTEXT, routing_context);
         let builder = builder.parameter(tag::PROTOCOL_DATA, &value);
         match correlation {
--- a/signalling/src/office.rs
+++ b/signalling/src/office.rs
@@ -267,6 +267,7 @@
         std::mem::take(&mut self.effects)
     }
 
+    /// When [`Event::Timeout`] is due next.
     pub fn next_timeout(&self) -> Option<Micros> {
         let clients = self.clients.iter().filter_map(Trunk::next_timeout);
         let servers = self.servers.iter().flat_map(|(asp, trunk)| [asp.next_timeout(), trunk.next_timeout()]);
@@ -316,6 +317,7 @@
         self.destinations.longest(number).map(|destination| destination.number)
     }
 
+    /// Handles an event; the results are in [`Office::take_effects`].
     pub fn handle(&mut self, now: Micros, event: Event) {
         match event {
             Event::ClientOpened(association) => {
@@ -441,8 +443,8 @@
                     self.associations.remove(&association);
                     self.effects.push(Effect::Close(association));
                 }
-                gateway::Effect::Deliver { server: client, association, user } => {
-                    self.handle_isup(now, Peer::Client(client), association, &user, bytes)
+                gateway::Effect::Deliver { server: client, association, payload } => {
+                    self.handle_isup(now, Peer::Client(client), association, &payload, bytes)
                 }
                 gateway::Effect::Up { server: client } => {
                     self.effects.push(Effect::ClientUp(client));
@@ -483,8 +485,8 @@
                     self.associations.remove(&association);
                     self.effects.push(Effect::Close(association));
                 }
-                asp::Effect::Deliver { association, user } => {
-                    self.handle_isup(now, Peer::Server(server), association, &user, bytes)
+                asp::Effect::Deliver { association, payload } => {
+                    self.handle_isup(now, Peer::Server(server), association, &payload, bytes)
                 }
                 asp::Effect::Up => {
                     self.handle_trunk_event(now, Peer::Server(server), circuits::Event::Up, None);
@@ -528,7 +530,7 @@
         self.effects.push(Effect::Log(event));
     }
 
-    fn refuse(
+    fn send_error(
         &mut self,
         now: Micros,
         peer: Peer,
@@ -539,11 +541,11 @@
         let bytes = bytes.unwrap_or_default();
         match peer {
             Peer::Client(_) => {
-                self.gateway.refuse(association, error, bytes);
+                self.gateway.send_error(association, error, bytes);
                 self.apply_gateway_effects(now, None);
             }
             Peer::Server(server) => {
-                self.servers[server].0.refuse(association, error, bytes);
+                self.servers[server].0.send_error(association, error, bytes);
                 self.apply_asp_effects(now, server, None);
             }
         }
@@ -555,10 +557,10 @@
         now: Micros,
         peer: Peer,
         association: Association,
-        user: &[u8],
+        payload: &[u8],
         bytes: Option<&[u8]>,
     ) {
-        let message = match Message::read(user) {
+        let message = match Message::read(payload) {
             Ok(message) => message,
             Err(isup::Unreadable::Parameters { circuit, kind: isup::kind::IAM })
                 if self.trunk(peer).is_idle(circuit) =>
@@ -566,7 +568,7 @@
                 let cause = Cause::PROTOCOL;
                 return self.handle_trunk_event(now, peer, circuits::Event::Recall { circuit, cause }, None);
             }
-            Err(_) => return self.refuse(now, peer, association, ErrorCode::Protocol, bytes),
+            Err(_) => return self.send_error(now, peer, association, ErrorCode::Protocol, bytes),
         };
         let may_call = match peer {
             Peer::Client(_) => true,
@@ -636,7 +638,7 @@
                 circuits::Effect::Disregarded { kind: isup::kind::IAM, .. } => {
                     // Answered with ERR, since a release would end the call that is on the circuit.
                     if let Some((association, bytes)) = from {
-                        self.refuse(now, peer, association, ErrorCode::Unexpected, bytes);
+                        self.send_error(now, peer, association, ErrorCode::Unexpected, bytes);
                     }
                 }
                 circuits::Effect::Disregarded { .. } => {}
@@ -658,13 +660,13 @@
             || found.longest.is_some_and(|to| number.len() >= to.digits) && !found.can_extend
     }
 
-    fn send(&mut self, now: Micros, peer: Peer, circuit: Circuit, user: &[u8]) {
+    fn send(&mut self, now: Micros, peer: Peer, circuit: Circuit, payload: &[u8]) {
         match peer {
             Peer::Client(server) => {
-                self.handle_gateway_event(now, gateway::Event::Send { server, circuit, user }, None)
+                self.handle_gateway_event(now, gateway::Event::Send { server, circuit, payload }, None)
             }
             Peer::Server(server) => {
-                self.handle_asp_event(now, server, asp::Event::Send { circuit, user }, None)
+                self.handle_asp_event(now, server, asp::Event::Send { circuit, payload }, None)
             }
         }
     }
--- a/signalling/tests/office.rs
+++ b/signalling/tests/office.rs
@@ -100,8 +100,9 @@
         RSC => &[],
         _ => &[0],
     };
-    let user = [&circuit.to_le_bytes()[..], &[kind], body].concat();
-    let label = [&origin.to_be_bytes()[..], &LOCAL_POINT_CODE.to_be_bytes(), &[5, 2, 0, 0], &user].concat();
+    let payload = [&circuit.to_le_bytes()[..], &[kind], body].concat();
+    let label =
+        [&origin.to_be_bytes()[..], &LOCAL_POINT_CODE.to_be_bytes(), &[5, 2, 0, 0], &payload].concat();
     message(1, 1, Some((0x0210, &label)))
 }
 
