--- a/faults/src/matching.rs
+++ b/faults/src/matching.rs
@@ -41,7 +41,9 @@
     }
     let data = m3ua::Message::read(message).ok().and_then(|message| message.parameter(tag::PROTOCOL_DATA));
     let user_part = data.and_then(|data| ProtocolData::read(data).ok());
-    let Some(message) = user_part.and_then(|data| isup::Message::read(data.user).ok()) else { return false };
+    let Some(message) = user_part.and_then(|data| isup::Message::read(data.payload).ok()) else {
+        return false;
+    };
     matches.isup.is_none_or(|wanted| wanted == message.body.kind())
         && matches.circuit.is_none_or(|wanted| wanted == message.circuit)
 }
