--- a/agent/src/net/links.rs
+++ b/agent/src/net/links.rs
@@ -1,9 +1,11 @@
-//! The connections to servers: one each, dialled as soon as the server is listed and again when it is lost.
+//! The connections to check servers: one for each server, dialled as soon as the server is listed and
+//! redialled when it is lost.
 //!
-//! A connection can go silent without an end. Where one has owed a word for too long, a second is dialled
-//! and takes over what is new. The first is closed once the second has brought an answer and it has not.
-//! Another follows then, since a server sends the releases that it wrote to a dead connection on the next
-//! that is opened. Where the first answers too, it stays: a release may be on its way on it.
+//! A connection can go silent without being closed. Where a response has been outstanding for too long, a
+//! second connection is dialled and takes over new messages. The first is closed once the second has brought
+//! a response and the first has not. A further connection is dialled then, since a server sends the releases
+//! that it wrote to a dead connection on the next one that is opened. Where the first connection responds
+//! too, it stays open: a release may be on its way on it.
 
 use std::collections::BTreeMap;
 
@@ -14,55 +16,62 @@
 use crate::ports::{LinkId, ToServer, Way};
 
 mod connection;
-mod untold;
-
-use connection::{Conn, Pauses, LATE, SOON_QUIET};
-use untold::Untold;
-
-const FIRST_PAUSE: Micros = 100_000;
-const LONGEST_PAUSE: Micros = 1_000_000;
-/// What stood at a server that has given no sign for so long, though it was dialled, has ended: the limit for
-/// its release is 8 s from the end, and the rest is for a second connection to its caller.
-const OUT_OF_REACH: Micros = 7_300_000;
-/// A dial that began less than this ago tells nothing yet.
-const DIAL_TELLS_AFTER: Micros = 500_000;
-/// What both connections were asked comes this much later on the first, or never.
-const GRACE: Micros = 80_000;
-/// Without an answer on either, the first is closed after this.
-const NO_PROOF: Micros = 3_000_000;
-/// A connection is known to be silent, or has a second one in its place, within this of its last word.
-const NOTICED: Micros = 7_000_000;
-const _: () = assert!(SOON_QUIET + LATE + NO_PROOF <= NOTICED && NOTICED < OUT_OF_REACH);
-/// From one second connection to the next: where the way is bad, the second may soon be silent too.
-const RELIEF_PAUSE: Micros = 300_000;
-/// Behind the redial of a connection that was closed on this side another follows after this: what its server
-/// wrote before it learned of the close comes on the next that is opened, and the redial may be there before
-/// that.
-const FOLLOW_UP: Micros = 150_000;
-/// A peer of the M3UA front has one association. It answers a heartbeat within this, or the association ends.
-const BEAT: Micros = 2_000_000;
-
-/// The first connection, while what is new goes by a second.
-struct Former {
+mod pending_releases;
+
+use connection::{Conn, ResponseTimes, MAX_PATIENCE, MIN_IDLE_TIME};
+use pending_releases::PendingReleases;
+
+const MIN_REDIAL_DELAY: Micros = 100_000;
+const MAX_REDIAL_DELAY: Micros = 1_000_000;
+/// The established calls of a server that was dialled and has sent nothing for this long count as ended: the
+/// limit for their releases is 8 s from the end, and the rest of that time is for a second connection to the
+/// caller.
+const UNREACHABLE_TIMEOUT: Micros = 7_300_000;
+/// A dial that is in progress for less than this does not show yet that its server is unreachable.
+const MIN_DIAL_TIME: Micros = 500_000;
+/// Where both connections were probed and the second has responded, the first has this much longer to
+/// respond.
+const RESPONSE_GRACE: Micros = 80_000;
+/// Where neither connection responds, the first is closed after this time.
+const REPLACEMENT_TIMEOUT: Micros = 3_000_000;
+/// A silent connection is detected, or has a replacement, within this time of its last message.
+const MAX_DETECTION_TIME: Micros = 7_000_000;
+const _: () = assert!(
+    MIN_IDLE_TIME + MAX_PATIENCE + REPLACEMENT_TIMEOUT <= MAX_DETECTION_TIME
+        && MAX_DETECTION_TIME < UNREACHABLE_TIMEOUT
+);
+/// Minimum time between two replacement connections: on a bad path, the replacement may soon be silent too.
+const MIN_REPLACEMENT_INTERVAL: Micros = 300_000;
+/// Delay of the additional connection that is dialled after a connection was closed on this side: what its
+/// server wrote before it noticed the close arrives on the next connection that is opened, and the redial may
+/// be accepted before the server notices.
+const FOLLOW_UP_DELAY: Micros = 150_000;
+/// A peer of the M3UA front has a single association. A heartbeat is acknowledged within this time, or the
+/// association is closed.
+const HEARTBEAT_TIMEOUT: Micros = 2_000_000;
+
+/// The first connection, while new messages go to its replacement.
+struct Previous {
     conn: Conn,
     since: Micros,
-    /// When the second brought an answer.
-    proof: Option<Micros>,
+    /// When the replacement received its first response.
+    replacement_confirmed: Option<Micros>,
 }
 
-impl Former {
-    /// It has brought something since it was taken for silent.
-    fn is_well(&self) -> bool {
-        self.conn.heard > self.since
+impl Previous {
+    /// Whether the connection has received something since it was taken for silent.
+    fn has_recovered(&self) -> bool {
+        self.conn.last_received > self.since
     }
 }
 
 enum State {
-    /// Dialled again at this time.
+    /// Without a connection; redialled at this time.
     Down(Micros),
-    /// What waits goes out when the connection is up, or is told as never sent when it fails.
+    /// Waiting messages are sent when the connection is established, or reported as not sent when the dial
+    /// fails.
     Dialling(u64, Vec<ToServer>),
-    /// It is up. What waits goes out once it is known which callers are still there.
+    /// Established. Waiting messages are sent once it is known which callers are still connected.
     Opening(Conn, Vec<ToServer>),
     Up(Conn),
 }
@@ -70,154 +79,166 @@
 struct Link {
     way: Way,
     state: State,
-    former: Option<Former>,
-    /// A second connection that is being dialled, and when the next may be.
-    relief: Option<u64>,
-    relief_after: Micros,
-    /// When another connection is dialled whatever this one does.
+    previous: Option<Previous>,
+    /// Epoch of a replacement that is being dialled, and the earliest time for the next one.
+    replacement: Option<u64>,
+    replacement_after: Micros,
+    /// When an additional connection is dialled regardless of the state of this one.
     follow_up: Option<Micros>,
-    /// What the server has to be told on its next connection, where it is one of the platform's.
-    untold: Untold,
+    /// Releases to be sent on the next connection, for servers of the platform.
+    pending_releases: PendingReleases,
     /// When a heartbeat was sent to a silent peer of the M3UA front.
-    beat: Option<Micros>,
-    pause: Micros,
-    /// It is without a connection, after it had one.
-    lost: bool,
-    /// When it last gave a sign: a word on any connection, or one that came up or was ended by it.
-    heard: Micros,
-    /// When it was first dialled since then.
-    dialled: Option<Micros>,
-    /// What stood there was given up, and it has given no sign since.
-    given_up: bool,
+    heartbeat_sent: Option<Micros>,
+    redial_delay: Micros,
+    /// Whether the server has no connection after it had one.
+    was_lost: bool,
+    /// When the server last showed activity: it sent a message on any connection, accepted a connection or
+    /// closed one.
+    last_received: Micros,
+    /// When the server was first dialled after `last_received`.
+    dialled_at: Option<Micros>,
+    /// Whether the server was reported as unreachable and has shown no activity since.
+    is_unreachable: bool,
 }
 
 impl Link {
-    /// Lets go of all its connections; returns the set-ups that may have run.
+    /// Closes all connections of the server; returns the attempts that may have reached it.
     fn end(&mut self, next: State) -> Vec<CallId> {
-        self.relief = None;
-        self.beat = None;
-        let mut out = self.end_former();
+        self.replacement = None;
+        self.heartbeat_sent = None;
+        let mut out = self.end_previous();
         match std::mem::replace(&mut self.state, next) {
-            State::Up(conn) => out.extend(conn.end(&mut self.untold)),
+            State::Up(conn) => out.extend(conn.close(&mut self.pending_releases)),
             State::Opening(conn, waiting) => {
-                out.extend(conn.end(&mut self.untold));
-                self.keep_releases(waiting);
+                out.extend(conn.close(&mut self.pending_releases));
+                self.store_releases(waiting);
             }
-            State::Dialling(_, waiting) => self.keep_releases(waiting),
+            State::Dialling(_, waiting) => self.store_releases(waiting),
             State::Down(_) => {}
         }
         out
     }
 
-    /// Lets go of the first connection; returns the set-ups that may have run.
-    fn end_former(&mut self) -> Vec<CallId> {
-        let former = self.former.take();
-        former.map(|former| former.conn.end(&mut self.untold)).unwrap_or_default()
+    /// Closes the first connection; returns the attempts that may have reached the server on it.
+    fn end_previous(&mut self) -> Vec<CallId> {
+        let previous = self.previous.take();
+        previous.map(|previous| previous.conn.close(&mut self.pending_releases)).unwrap_or_default()
     }
 
-    fn keep_releases(&mut self, waiting: Vec<ToServer>) {
+    fn store_releases(&mut self, waiting: Vec<ToServer>) {
         for message in waiting {
             if let ToServer::Release(call, cause) = message {
-                self.untold.release(call, cause);
+                self.pending_releases.release(call, cause);
             }
         }
     }
 
-    /// Tells the server on the connection that is up what it may not have heard.
-    fn tell_untold(&mut self, now: Micros) {
-        let Link { state: State::Up(conn), former, untold, way: Way::Platform(_), .. } = self else { return };
-        if untold.is_empty() {
+    /// Sends the pending releases on the established connection.
+    fn send_pending_releases(&mut self, now: Micros) {
+        let Link { state: State::Up(conn), previous, pending_releases, way: Way::Platform(_), .. } = self
+        else {
+            return;
+        };
+        if pending_releases.is_empty() {
             return;
         }
-        let former_out = |call| former.as_ref().is_some_and(|former| former.conn.out.contains_key(&call));
-        for message in untold.take(|call| conn.out.contains_key(&call) || former_out(call)) {
+        let previous_has =
+            |call| previous.as_ref().is_some_and(|previous| previous.conn.attempts.contains_key(&call));
+        for message in pending_releases.take(|call| conn.attempts.contains_key(&call) || previous_has(call)) {
             let ToServer::Release(call, cause) = message else { continue };
             if conn.post(message, now).is_err() {
-                untold.release(call, cause);
+                pending_releases.release(call, cause);
             }
         }
     }
 }
 
 impl Link {
-    /// It has given a sign.
-    fn heard(&mut self, now: Micros) {
-        (self.heard, self.dialled, self.given_up) = (now, None, false);
+    /// Records activity of the server.
+    fn received(&mut self, now: Micros) {
+        (self.last_received, self.dialled_at, self.is_unreachable) = (now, None, false);
     }
 
-    /// When it counts as out of reach, unless it gives a sign until then.
-    fn out_of_reach_at(&self) -> Option<Micros> {
-        let dialled = self.dialled.filter(|_| !self.given_up)?;
-        Some((self.heard + OUT_OF_REACH).max(dialled + DIAL_TELLS_AFTER))
+    /// When the server counts as unreachable, unless it shows activity before that.
+    fn unreachable_at(&self) -> Option<Micros> {
+        let dialled = self.dialled_at.filter(|_| !self.is_unreachable)?;
+        Some((self.last_received + UNREACHABLE_TIMEOUT).max(dialled + MIN_DIAL_TIME))
     }
 
-    /// Has another connection dialled, unless one is already.
-    fn relieve(&mut self, server: ServerId, epochs: &mut u64, now: Micros) -> Option<Watch> {
-        if self.relief.is_some() || !matches!(self.state, State::Up(_)) {
+    /// Returns the dial of a replacement connection, unless one is being dialled already.
+    fn dial_replacement(
+        &mut self,
+        server: ServerId,
+        last_epoch: &mut u64,
+        now: Micros,
+    ) -> Option<LinkAction> {
+        if self.replacement.is_some() || !matches!(self.state, State::Up(_)) {
             return None;
         }
-        // A third makes way first, so that what the server wrote to it meanwhile comes on the next.
-        if let Some(former) = self.former.take_if(|former| former.conn.out.is_empty()) {
-            former.conn.finish();
+        // The previous connection is finished first, so that what the server wrote to it meanwhile arrives on
+        // the next one.
+        if let Some(previous) = self.previous.take_if(|previous| previous.conn.attempts.is_empty()) {
+            previous.conn.finish();
         }
-        *epochs += 1;
-        self.dialled.get_or_insert(now);
-        self.relief = Some(*epochs);
-        self.relief_after = now + RELIEF_PAUSE;
-        Some(Watch::Relieve(LinkId { server, epoch: *epochs }, self.way))
+        *last_epoch += 1;
+        self.dialled_at.get_or_insert(now);
+        self.replacement = Some(*last_epoch);
+        self.replacement_after = now + MIN_REPLACEMENT_INTERVAL;
+        Some(LinkAction::DialReplacement(LinkId { server, epoch: *last_epoch }, self.way))
     }
 }
 
-/// A server that nothing has come from for too long.
+/// A server from which nothing was received for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OutOfReach {
+pub struct UnreachableServer {
     pub server: ServerId,
-    /// How long ago the last word came.
+    /// Time since the last activity.
     pub silent_for: Micros,
 }
 
-/// What has to be done about a silent connection.
-pub enum Watch {
-    /// Is tested, by this connection.
-    Test(LinkId),
-    /// A second connection is dialled.
-    Relieve(LinkId, Way),
-    /// Another is dialled behind one that was closed on this side.
-    FollowUp(LinkId, Way),
-    /// These set-ups went with a connection that is closed.
-    Reset(ServerId, Vec<CallId>),
+/// An action that a silent connection requires.
+pub enum LinkAction {
+    /// The connection is probed.
+    Probe(LinkId),
+    /// A replacement connection is dialled.
+    DialReplacement(LinkId, Way),
+    /// An additional connection is dialled after one that was closed on this side.
+    DialFollowUp(LinkId, Way),
+    /// These attempts were lost with a connection that is closed.
+    AttemptsLost(ServerId, Vec<CallId>),
 }
 
 #[derive(Default)]
 pub struct Links {
     links: BTreeMap<ServerId, Link>,
-    epochs: u64,
-    pauses: Pauses,
-    opening: bool,
-    /// A server's time for a word is over, by a clock that is ahead of what was read of its connections.
+    last_epoch: u64,
+    response_times: ResponseTimes,
+    has_opening: bool,
+    /// A deadline has passed for which the messages that have arrived were not read yet.
     overdue: bool,
 }
 
-/// What the silence of a server is measured by.
+/// The time up to which the silence of a server can be judged.
 #[derive(Clone, Copy)]
-pub struct Silence {
+pub struct ReadProgress {
     pub now: Micros,
-    /// All that had arrived by then was read. What a peer has said since may wait in its socket: a late turn
-    /// of this process is not the peer's silence.
+    /// Everything that had arrived by this time was read. Later messages of a peer may wait in its socket: a
+    /// late iteration of this process is not the peer's silence.
     pub read_until: Micros,
 }
 
-impl Silence {
-    /// Whether it has lasted until then, as far as is known; `overdue` where that has to be read first.
-    fn lasts(self, until: Micros, overdue: &mut bool) -> bool {
+impl ReadProgress {
+    /// Whether the time `until` has passed for everything that was read; sets `overdue` where reading has to
+    /// catch up first.
+    fn has_passed(self, until: Micros, overdue: &mut bool) -> bool {
         *overdue |= self.now >= until && self.read_until < until;
         self.read_until >= until
     }
 }
 
 impl Links {
-    /// Takes in where a server is; true when an earlier connection to it ended with that.
-    pub fn listed(&mut self, server: ServerId, way: Way, now: Micros) -> bool {
+    /// Sets the address of a server; returns whether an earlier connection to it was closed.
+    pub fn set_address(&mut self, server: ServerId, way: Way, now: Micros) -> bool {
         let same = self.links.get(&server).is_some_and(|link| link.way == way);
         if same {
             return false;
@@ -226,29 +247,29 @@
         let link = Link {
             way,
             state: State::Down(now),
-            former: None,
-            relief: None,
-            relief_after: now,
+            previous: None,
+            replacement: None,
+            replacement_after: now,
             follow_up: None,
-            untold: Untold::default(),
-            beat: None,
-            pause: FIRST_PAUSE,
-            lost: false,
-            heard: now,
-            dialled: None,
-            given_up: false,
+            pending_releases: PendingReleases::default(),
+            heartbeat_sent: None,
+            redial_delay: MIN_REDIAL_DELAY,
+            was_lost: false,
+            last_received: now,
+            dialled_at: None,
+            is_unreachable: false,
         };
         self.links.insert(server, link);
         had
     }
 
-    /// Lets go of a server; false where there was none.
+    /// Removes a server and closes its connections; returns whether it was known.
     pub fn remove(&mut self, server: ServerId) -> bool {
         let link = self.links.remove(&server);
         link.map(|mut link| link.end(State::Down(0))).is_some()
     }
 
-    /// Whether this is a present connection to its server.
+    /// Whether the id is that of a current connection to its server.
     pub fn is_current(&self, id: LinkId) -> bool {
         self.links.get(&id.server).is_some_and(|link| {
             let present = match &link.state {
@@ -256,31 +277,31 @@
                 State::Dialling(epoch, _) => Some(*epoch),
                 State::Opening(conn, _) | State::Up(conn) => Some(conn.epoch),
             };
-            let former = link.former.as_ref().map(|former| former.conn.epoch);
-            [present, link.relief, former].contains(&Some(id.epoch))
+            let previous = link.previous.as_ref().map(|previous| previous.conn.epoch);
+            [present, link.replacement, previous].contains(&Some(id.epoch))
         })
     }
 
-    /// Those to dial now; each counts as dialled with that.
-    pub fn due(&mut self, now: Micros) -> Vec<(LinkId, Way)> {
+    /// Returns the connections that are due to be dialled, and marks them as dialling.
+    pub fn take_due_dials(&mut self, now: Micros) -> Vec<(LinkId, Way)> {
         let mut due = Vec::new();
         for (server, link) in &mut self.links {
             if matches!(link.state, State::Down(at) if at <= now) {
-                self.epochs += 1;
-                link.dialled.get_or_insert(now);
-                link.state = State::Dialling(self.epochs, Vec::new());
-                due.push((LinkId { server: *server, epoch: self.epochs }, link.way));
+                self.last_epoch += 1;
+                link.dialled_at.get_or_insert(now);
+                link.state = State::Dialling(self.last_epoch, Vec::new());
+                due.push((LinkId { server: *server, epoch: self.last_epoch }, link.way));
             }
         }
         due
     }
 
-    /// Whether no first dial of a server is under way.
+    /// Whether no server's first dial is in progress.
     pub fn are_settled(&self) -> bool {
-        !self.links.values().any(|link| matches!(link.state, State::Dialling(..)) && !link.lost)
+        !self.links.values().any(|link| matches!(link.state, State::Dialling(..)) && !link.was_lost)
     }
 
-    /// Whether what has arrived has to be read before a silence is judged.
+    /// Whether pending input has to be read before a silence can be judged.
     pub fn are_overdue(&self) -> bool {
         self.overdue
     }
@@ -295,57 +316,64 @@
                 State::Up(_) => link.follow_up,
                 _ => None,
             };
-            [dialled_at, link.out_of_reach_at()]
+            [dialled_at, link.unreachable_at()]
         });
         times.flatten().min()
     }
 
-    /// A connection is there. Where it relieves another, both are to be tested, which tells whether that one
-    /// is dead or its server only slow; returns these, and the set-ups that went with one before them.
-    pub fn up(&mut self, id: LinkId, outbox: Outbox<ToServer>, now: Micros) -> (Vec<LinkId>, Vec<CallId>) {
+    /// Handles an established connection. Where it is a replacement, both connections are to be probed, which
+    /// shows whether the first one is dead or its server is only slow. Returns the connections to probe, and
+    /// the attempts lost with an older connection.
+    pub fn connected(
+        &mut self,
+        id: LinkId,
+        outbox: Outbox<ToServer>,
+        now: Micros,
+    ) -> (Vec<LinkId>, Vec<CallId>) {
         let Some(link) = self.links.get_mut(&id.server) else { return Default::default() };
-        (link.pause, link.lost, link.beat) = (FIRST_PAUSE, false, None);
-        link.heard(now);
+        (link.redial_delay, link.was_lost, link.heartbeat_sent) = (MIN_REDIAL_DELAY, false, None);
+        link.received(now);
         let conn = Conn::new(id.epoch, outbox, now);
         match std::mem::replace(&mut link.state, State::Up(conn)) {
             State::Up(conn) => {
-                link.relief = None;
+                link.replacement = None;
                 let first = LinkId { server: id.server, epoch: conn.epoch };
-                let out = link.end_former();
-                link.former = Some(Former { conn, since: now, proof: None });
-                link.tell_untold(now);
+                let out = link.end_previous();
+                link.previous = Some(Previous { conn, since: now, replacement_confirmed: None });
+                link.send_pending_releases(now);
                 (vec![first, id], out)
             }
             State::Dialling(_, waiting) if !waiting.is_empty() => {
                 if let State::Up(conn) = std::mem::replace(&mut link.state, State::Down(now)) {
                     link.state = State::Opening(conn, waiting);
-                    self.opening = true;
+                    self.has_opening = true;
                 }
                 Default::default()
             }
             State::Dialling(..) | State::Opening(..) | State::Down(_) => {
-                link.tell_untold(now);
+                link.send_pending_releases(now);
                 Default::default()
             }
         }
     }
 
-    /// Whether what waited for a connection is about to go out.
-    pub fn opens(&self) -> bool {
-        self.opening
+    /// Whether messages that waited for a connection are about to be sent.
+    pub fn has_opening(&self) -> bool {
+        self.has_opening
     }
 
-    /// Lets what waited for connections that are up go out; returns the set-ups that they do not take.
-    pub fn open(&mut self, now: Micros) -> Vec<(ServerId, CallId, NotSent)> {
+    /// Sends the messages that waited for connections now established; returns the attempts that the
+    /// connections do not accept.
+    pub fn send_waiting(&mut self, now: Micros) -> Vec<(ServerId, CallId, NotSent)> {
         let mut left = Vec::new();
-        if !std::mem::take(&mut self.opening) {
+        if !std::mem::take(&mut self.has_opening) {
             return left;
         }
         for (server, link) in &mut self.links {
             match std::mem::replace(&mut link.state, State::Down(now)) {
                 State::Opening(conn, waiting) => {
                     link.state = State::Up(conn);
-                    link.tell_untold(now);
+                    link.send_pending_releases(now);
                     let State::Up(conn) = &mut link.state else { continue };
                     for message in waiting {
                         let call = message.set_up();
@@ -360,95 +388,105 @@
         left
     }
 
-    /// A connection has ended, or could not be had; returns the set-ups that may have run.
-    pub fn lost(&mut self, id: LinkId, loss: LinkLoss, now: Micros) -> Vec<CallId> {
+    /// Handles a lost connection or a failed dial; returns the attempts that may have reached the server.
+    pub fn connection_lost(&mut self, id: LinkId, loss: LinkLoss, now: Micros) -> Vec<CallId> {
         let Some(link) = self.links.get_mut(&id.server) else { return Vec::new() };
-        if link.former.as_ref().is_some_and(|former| former.conn.epoch == id.epoch) {
-            return link.end_former();
+        if link.previous.as_ref().is_some_and(|previous| previous.conn.epoch == id.epoch) {
+            return link.end_previous();
         }
-        // A second connection that cannot be had tells that the first is no better.
+        // A failed dial of a replacement shows that the first connection is dead too.
         let was_up = matches!(loss, LinkLoss::Dropped | LinkLoss::Unreadable);
         if was_up {
-            link.heard(now);
+            link.received(now);
         }
         if loss == LinkLoss::Unreadable {
-            link.follow_up = Some(now + FOLLOW_UP);
+            link.follow_up = Some(now + FOLLOW_UP_DELAY);
         }
-        let pause = if was_up { 0 } else { link.pause };
-        link.pause = (2 * link.pause).min(LONGEST_PAUSE);
-        if was_up || link.relief == Some(id.epoch) {
-            link.lost = true;
+        let pause = if was_up { 0 } else { link.redial_delay };
+        link.redial_delay = (2 * link.redial_delay).min(MAX_REDIAL_DELAY);
+        if was_up || link.replacement == Some(id.epoch) {
+            link.was_lost = true;
         }
         link.end(State::Down(now + pause))
     }
 
-    /// Something came on a connection: about a call, or an answer to a test, or neither.
-    pub fn heard(&mut self, id: LinkId, about: Option<CallId>, tested: bool, now: Micros) {
+    /// Handles a received message: `about` is its call, if it has one; `probe_answered` is true for the
+    /// response to a probe.
+    pub fn received(&mut self, id: LinkId, about: Option<CallId>, probe_answered: bool, now: Micros) {
         let Some(link) = self.links.get_mut(&id.server) else { return };
-        link.heard(now);
-        match (&mut link.state, &mut link.former) {
-            (State::Up(conn), former) if conn.epoch == id.epoch => {
-                link.beat = None;
-                if let Some(since) = conn.owes {
-                    self.pauses.take((now - since).min(LATE));
+        link.received(now);
+        match (&mut link.state, &mut link.previous) {
+            (State::Up(conn), previous) if conn.epoch == id.epoch => {
+                link.heartbeat_sent = None;
+                if let Some(since) = conn.awaiting_since {
+                    self.response_times.record((now - since).min(MAX_PATIENCE));
                 }
-                if conn.heard(about, now) || tested {
-                    if let Some(former) = former {
-                        former.proof.get_or_insert(now);
+                if conn.received(about, now) || probe_answered {
+                    if let Some(previous) = previous {
+                        previous.replacement_confirmed.get_or_insert(now);
                     }
                 }
             }
-            (_, Some(former)) if former.conn.epoch == id.epoch => {
-                former.conn.heard(about, now);
+            (_, Some(previous)) if previous.conn.epoch == id.epoch => {
+                previous.conn.received(about, now);
             }
             _ => {}
         }
     }
 
-    /// Looks for connections that are silent. `stand` tells where calls stand.
-    pub fn watch(&mut self, silence: Silence, stand: impl Fn(ServerId) -> bool) -> Vec<Watch> {
+    /// Returns the actions for silent connections. `has_established_calls` tells whether a server has
+    /// established calls.
+    pub fn check_silence(
+        &mut self,
+        silence: ReadProgress,
+        has_established_calls: impl Fn(ServerId) -> bool,
+    ) -> Vec<LinkAction> {
         let (now, mut overdue) = (silence.now, false);
         let mut found = Vec::new();
         for (&server, link) in &mut self.links {
-            link.tell_untold(now);
+            link.send_pending_releases(now);
             let is_up = matches!(link.state, State::Up(_));
             let follows = is_up && link.follow_up.take_if(|at| *at <= now).is_some();
-            // Where there is a second connection already, it has followed.
-            if follows && link.former.is_none() {
-                if let Some(Watch::Relieve(id, way)) = link.relieve(server, &mut self.epochs, now) {
-                    found.push(Watch::FollowUp(id, way));
+            // An existing replacement serves the purpose.
+            if follows && link.previous.is_none() {
+                if let Some(LinkAction::DialReplacement(id, way)) =
+                    link.dial_replacement(server, &mut self.last_epoch, now)
+                {
+                    found.push(LinkAction::DialFollowUp(id, way));
                 }
             }
-            if let Some(former) = link.former.as_ref().filter(|former| !former.is_well()) {
-                let until = former.proof.map_or(former.since + NO_PROOF, |at| at + GRACE);
-                if silence.lasts(until, &mut overdue) {
-                    let out = link.end_former();
-                    found.push(Watch::Reset(server, out));
-                    found.extend(link.relieve(server, &mut self.epochs, now));
+            if let Some(previous) = link.previous.as_ref().filter(|previous| !previous.has_recovered()) {
+                let until = previous
+                    .replacement_confirmed
+                    .map_or(previous.since + REPLACEMENT_TIMEOUT, |at| at + RESPONSE_GRACE);
+                if silence.has_passed(until, &mut overdue) {
+                    let out = link.end_previous();
+                    found.push(LinkAction::AttemptsLost(server, out));
+                    found.extend(link.dial_replacement(server, &mut self.last_epoch, now));
                 }
                 continue;
             }
             let State::Up(conn) = &mut link.state else { continue };
             let this = LinkId { server, epoch: conn.epoch };
-            let silent_from = conn.silent_from(self.pauses);
-            if !silent_from.is_some_and(|from| silence.lasts(from, &mut overdue)) {
-                if conn.is_quiet(self.pauses, now) && stand(server) {
-                    found.push(Watch::Test(this));
+            let silent_from = conn.silent_from(self.response_times);
+            if !silent_from.is_some_and(|from| silence.has_passed(from, &mut overdue)) {
+                if conn.is_idle(self.response_times, now) && has_established_calls(server) {
+                    found.push(LinkAction::Probe(this));
                 }
                 continue;
             }
-            match (link.way, link.beat) {
-                (Way::Platform(_), _) if now >= link.relief_after => {
-                    found.extend(link.relieve(server, &mut self.epochs, now));
+            match (link.way, link.heartbeat_sent) {
+                (Way::Platform(_), _) if now >= link.replacement_after => {
+                    found.extend(link.dial_replacement(server, &mut self.last_epoch, now));
                 }
                 (Way::Platform(_), _) => {}
                 (Way::M3ua(_), None) => {
-                    link.beat = Some(now);
-                    found.push(Watch::Test(this));
+                    link.heartbeat_sent = Some(now);
+                    found.push(LinkAction::Probe(this));
                 }
-                (Way::M3ua(_), Some(at)) if silence.lasts(at + BEAT, &mut overdue) => {
-                    link.lost = true;
-                    found.push(Watch::Reset(server, link.end(State::Down(now))));
+                (Way::M3ua(_), Some(at)) if silence.has_passed(at + HEARTBEAT_TIMEOUT, &mut overdue) => {
+                    link.was_lost = true;
+                    found.push(LinkAction::AttemptsLost(server, link.end(State::Down(now))));
                 }
                 (Way::M3ua(_), Some(_)) => {}
             }
@@ -457,19 +495,19 @@
         found
     }
 
-    /// Puts a message on its way; an error says why it is sure that it does not leave.
+    /// Queues a message; an error is the reason why it is certainly not sent.
     pub fn post(&mut self, server: ServerId, message: ToServer, now: Micros) -> Result<(), NotSent> {
         let Some(link) = self.links.get_mut(&server) else { return Err(NotSent::Unreachable) };
-        if let (ToServer::GiveUp(call), Some(former)) = (&message, &mut link.former) {
-            if former.conn.out.contains_key(call) {
-                return former.conn.post(message, now);
+        if let (ToServer::GiveUp(call), Some(previous)) = (&message, &mut link.previous) {
+            if previous.conn.attempts.contains_key(call) {
+                return previous.conn.post(message, now);
             }
         }
         match &mut link.state {
             State::Up(conn) => conn.post(message, now),
             State::Dialling(_, waiting) | State::Opening(_, waiting) => {
                 match message {
-                    // Neither needs to arrive: the set-up has not left.
+                    // Neither message needs to be sent: the set-up has not left.
                     ToServer::GiveUp(call) => {
                         self.withdraw(server, call);
                     }
@@ -479,7 +517,7 @@
             }
             State::Down(_) => match message {
                 ToServer::Release(call, cause) if matches!(link.way, Way::Platform(_)) => {
-                    link.untold.release(call, cause);
+                    link.pending_releases.release(call, cause);
                     Ok(())
                 }
                 _ => Err(NotSent::Unreachable),
@@ -487,45 +525,47 @@
         }
     }
 
-    /// Whether nothing waits to be written to any server that is connected.
+    /// Whether all messages to connected servers were written.
     pub fn are_flushed(&self) -> bool {
-        let former = |link: &Link| link.former.as_ref().is_none_or(|former| former.conn.outbox.is_flushed());
+        let previous =
+            |link: &Link| link.previous.as_ref().is_none_or(|previous| previous.conn.outbox.is_flushed());
         let present = |link: &Link| match &link.state {
             State::Up(conn) => conn.outbox.is_flushed(),
             _ => true,
         };
-        self.links.values().all(|link| former(link) && present(link))
+        self.links.values().all(|link| previous(link) && present(link))
     }
 
-    /// Takes back a set-up, unless a byte of it has left.
+    /// Withdraws a set-up, unless its first byte was written; returns whether it was withdrawn.
     pub fn withdraw(&mut self, server: ServerId, call: CallId) -> bool {
         let Some(link) = self.links.get_mut(&server) else { return false };
         if let State::Dialling(_, waiting) | State::Opening(_, waiting) = &mut link.state {
             let place = waiting.iter().position(|message| message.set_up() == Some(call));
             return place.map(|place| waiting.remove(place)).is_some();
         }
-        let former = link.former.as_mut().map(|former| &mut former.conn);
+        let previous = link.previous.as_mut().map(|previous| &mut previous.conn);
         let present = if let State::Up(conn) = &mut link.state { Some(conn) } else { None };
-        former.into_iter().chain(present).any(|conn| conn.withdraw(call))
+        previous.into_iter().chain(present).any(|conn| conn.withdraw(call))
     }
 
-    /// Puts a test on one connection.
-    pub fn test(&mut self, id: LinkId, call: CallId, now: Micros) -> bool {
+    /// Sends a probe on one connection; returns whether it was queued.
+    pub fn probe(&mut self, id: LinkId, call: CallId, now: Micros) -> bool {
         let Some(link) = self.links.get_mut(&id.server) else { return false };
-        match (&mut link.state, &mut link.former) {
+        match (&mut link.state, &mut link.previous) {
             (State::Up(conn), _) if conn.epoch == id.epoch => conn.post(ToServer::Probe(call), now).is_ok(),
-            (_, Some(former)) if former.conn.epoch == id.epoch => {
-                former.conn.post(ToServer::Probe(call), now).is_ok()
+            (_, Some(previous)) if previous.conn.epoch == id.epoch => {
+                previous.conn.post(ToServer::Probe(call), now).is_ok()
             }
             _ => false,
         }
     }
 
-    /// Takes back the set-ups to a server that takes nothing new of which no byte has left: they wait for a
-    /// connection, or for one that takes nothing now.
-    pub fn take_waiting(&mut self, server: ServerId) -> Vec<CallId> {
+    /// Withdraws the set-ups to a server that accepts no new ones, as far as no byte of them was written:
+    /// they wait for a connection, or in the send queue of a blocked one.
+    pub fn withdraw_all(&mut self, server: ServerId) -> Vec<CallId> {
         let Some(link) = self.links.get_mut(&server) else { return Vec::new() };
-        let mut waited = link.former.as_mut().map(|former| former.conn.take_queued()).unwrap_or_default();
+        let mut waited =
+            link.previous.as_mut().map(|previous| previous.conn.take_queued()).unwrap_or_default();
         waited.extend(match &mut link.state {
             State::Dialling(_, waiting) | State::Opening(_, waiting) => set_ups(waiting),
             State::Up(conn) => conn.take_queued(),
@@ -534,20 +574,20 @@
         waited
     }
 
-    /// Servers that have been out of reach for too long; each is named once, until it gives a sign.
-    pub fn out_of_reach(&mut self, silence: Silence) -> Vec<OutOfReach> {
+    /// Returns the servers that became unreachable; each is returned once, until it shows activity.
+    pub fn take_unreachable(&mut self, silence: ReadProgress) -> Vec<UnreachableServer> {
         let overdue = &mut self.overdue;
         let late = self.links.iter_mut().filter_map(|(server, link)| {
-            let at = link.out_of_reach_at()?;
-            link.given_up = silence.lasts(at, overdue);
-            let silent_for = silence.now - link.heard;
-            link.given_up.then_some(OutOfReach { server: *server, silent_for })
+            let at = link.unreachable_at()?;
+            link.is_unreachable = silence.has_passed(at, overdue);
+            let silent_for = silence.now - link.last_received;
+            link.is_unreachable.then_some(UnreachableServer { server: *server, silent_for })
         });
         late.collect()
     }
 }
 
-/// Takes the set-ups out of what waits.
+/// Removes the set-ups from the waiting messages.
 fn set_ups(waiting: &mut Vec<ToServer>) -> Vec<CallId> {
     let taken = waiting.extract_if(.., |message| message.is_attempt());
     taken.filter_map(|message| message.set_up()).collect()
--- a/agent/src/net/links/connection.rs
+++ b/agent/src/net/links/connection.rs
@@ -1,72 +1,74 @@
-//! One open connection to a server: what is out on it, and by what it is taken for silent or quiet.
+//! One open connection to a server: its unanswered attempts, and the criteria by which it counts as silent or
+//! idle.
 
 use std::collections::BTreeMap;
 
 use steprelay_core::NotSent;
 use steprelay_decisions::{CallId, Micros};
 
-use super::untold::{RecentReleases, Untold};
-use super::{NOTICED, NO_PROOF};
+use super::pending_releases::{PendingReleases, RecentReleases};
+use super::{MAX_DETECTION_TIME, REPLACEMENT_TIMEOUT};
 use crate::ports::conn::Outbox;
 use crate::ports::dispatch::Dispatch;
 use crate::ports::ToServer;
 
-/// A connection that owes a word is taken for silent after so many times the longest pause it lately made,
-/// or after what all servers' pauses tell if that is longer, within these bounds: a server that is short of
-/// processor answers late on a connection that is well, and of one that is asked now and then little is
-/// known.
-const PAUSES: Micros = 3;
-pub const SOON: Micros = 120_000;
-pub const LATE: Micros = 2_000_000;
-/// The longest pause that is remembered falls by one part in so many with each shorter one. Time alone tells
-/// nothing: where a server is asked every few seconds, the one pause before would be all that counts.
-const FORGETS: Micros = 10;
-/// What is rare among pauses before any is known.
-const RARE: Micros = 1_000_000;
-/// A connection on which calls stand is tested once it has brought no word for so many times the mean pause
-/// between its words, since their releases come on it; but not within the second. Tests are work for
-/// servers, and those of all call agents add up: where little comes anyway, a pause tells little, and the
-/// limit for a release alone says when.
-const QUIET: Micros = 3;
-pub const SOON_QUIET: Micros = 1_000_000;
-/// The mean moves by one part in so many with each word.
-const WORDS: Micros = 8;
-
-/// The pauses of all servers before a word that is owed: mean and mean deviation, and what follows from
-/// these, as RFC 6298 has it (2.1 to 2.3) for one connection.
+/// A connection counts as silent when a response has been outstanding for this many times its longest recent
+/// response time, or for longer than the response times of all servers suggest if that is more, within these
+/// bounds: a server that is short of processor time responds late on a healthy connection, and little is
+/// known of a server that rarely gets requests.
+const PATIENCE_FACTOR: Micros = 3;
+pub const MIN_PATIENCE: Micros = 120_000;
+pub const MAX_PATIENCE: Micros = 2_000_000;
+/// The recorded longest response time falls by this fraction with each shorter one. It does not decay with
+/// time: for a server that gets a request every few seconds, the one response before would be all that
+/// counts.
+const DECAY_DIVISOR: Micros = 10;
+/// The slow response time that is assumed before any was measured.
+const INITIAL_SLOW_RESPONSE: Micros = 1_000_000;
+/// A connection with established calls is probed once nothing was received for this many times the mean
+/// interval between its messages, since the releases of these calls arrive on it; but not within the first
+/// second. Probes are work for servers, and those of all call agents add up: where messages are rare anyway,
+/// an interval tells little, and the limit for a release alone determines the time.
+const IDLE_FACTOR: Micros = 3;
+pub const MIN_IDLE_TIME: Micros = 1_000_000;
+/// The weight of a new interval in the mean is one divided by this.
+const MEAN_DIVISOR: Micros = 8;
+
+/// Response times of all servers: mean and mean deviation, and the bound that follows from them, as RFC 6298
+/// (2.1 to 2.3) computes it for one connection.
 #[derive(Clone, Copy, Default)]
-pub struct Pauses(pub Option<(Micros, Micros)>);
+pub struct ResponseTimes(pub Option<(Micros, Micros)>);
 
-impl Pauses {
-    pub fn take(&mut self, pause: Micros) {
+impl ResponseTimes {
+    pub fn record(&mut self, time: Micros) {
         self.0 = Some(match self.0 {
-            None => (pause, pause / 2),
+            None => (time, time / 2),
             Some((mean, deviation)) => {
-                let away = (mean - pause).abs();
-                (mean - mean / 8 + pause / 8, deviation - deviation / 4 + away / 4)
+                let difference = (mean - time).abs();
+                (mean - mean / 8 + time / 8, deviation - deviation / 4 + difference / 4)
             }
         });
     }
 
-    /// A pause that is longer is a rare one.
-    pub fn rare(self) -> Micros {
-        self.0.map_or(RARE, |(mean, deviation)| mean + 4 * deviation)
+    /// A response that takes longer than this is unusually slow.
+    pub fn slow_response(self) -> Micros {
+        self.0.map_or(INITIAL_SLOW_RESPONSE, |(mean, deviation)| mean + 4 * deviation)
     }
 }
 
-/// A connection that is open.
+/// An open connection.
 pub struct Conn {
     pub epoch: u64,
     pub outbox: Outbox<ToServer>,
-    /// Set-ups that wait on it for an answer.
-    pub out: BTreeMap<CallId, Dispatch>,
-    pub heard: Micros,
-    /// Since when it has owed a word, and the longest that lately took.
-    pub owes: Option<Micros>,
-    pub longest: Micros,
-    /// When the last word about a call came, and the mean pause between two.
-    pub word: Micros,
-    pub pause: Option<Micros>,
+    /// Attempts that wait for an answer on this connection.
+    pub attempts: BTreeMap<CallId, Dispatch>,
+    pub last_received: Micros,
+    /// Since when a response is outstanding, and the longest recent response time.
+    pub awaiting_since: Option<Micros>,
+    pub longest_response: Micros,
+    /// When the last message about a call was received, and the mean interval between two.
+    pub last_message: Micros,
+    pub mean_interval: Option<Micros>,
     pub releases: RecentReleases,
 }
 
@@ -75,12 +77,12 @@
         Conn {
             epoch,
             outbox,
-            out: BTreeMap::new(),
-            heard: now,
-            owes: None,
-            longest: 0,
-            word: now,
-            pause: None,
+            attempts: BTreeMap::new(),
+            last_received: now,
+            awaiting_since: None,
+            longest_response: 0,
+            last_message: now,
+            mean_interval: None,
             releases: RecentReleases::default(),
         }
     }
@@ -88,91 +90,101 @@
     pub fn post(&mut self, message: ToServer, now: Micros) -> Result<(), NotSent> {
         let out = match &message {
             ToServer::SetUp(set_up, dispatch) => Some((set_up.call, dispatch.clone())),
-            // One that has not left needs no giving up.
-            ToServer::GiveUp(call) if self.out.remove(call).is_some_and(|dispatch| dispatch.cancel()) => {
+            // A set-up that was not sent needs no cancellation message.
+            ToServer::GiveUp(call)
+                if self.attempts.remove(call).is_some_and(|dispatch| dispatch.cancel()) =>
+            {
                 return Ok(());
             }
             _ => None,
         };
-        let owes = out.is_some() || matches!(message, ToServer::Probe(_));
+        let expects_response = out.is_some() || matches!(message, ToServer::Probe(_));
         let released = match &message {
             ToServer::Release(call, cause) => Some((*call, *cause)),
             _ => None,
         };
         if !self.outbox.post(message) {
-            let gone = self.outbox.is_closed();
-            return Err(if gone { NotSent::Unreachable } else { NotSent::QueueFull });
+            let is_closed = self.outbox.is_closed();
+            return Err(if is_closed { NotSent::Unreachable } else { NotSent::QueueFull });
         }
         if let Some((call, cause)) = released {
             self.releases.posted(now, call, cause);
         }
-        if owes {
-            self.out.extend(out);
-            self.owes.get_or_insert(now);
+        if expects_response {
+            self.attempts.extend(out);
+            self.awaiting_since.get_or_insert(now);
         }
         Ok(())
     }
 
-    /// Takes back a set-up, unless a byte of it has left.
+    /// Withdraws a set-up, unless its first byte was written; returns whether it was withdrawn.
     pub fn withdraw(&mut self, call: CallId) -> bool {
-        let queued = self.out.get(&call).is_some_and(|dispatch| !dispatch.has_begun() && dispatch.cancel());
-        queued && self.out.remove(&call).is_some()
+        let queued =
+            self.attempts.get(&call).is_some_and(|dispatch| !dispatch.has_begun() && dispatch.cancel());
+        queued && self.attempts.remove(&call).is_some()
     }
 
-    /// The same for all of them.
+    /// Withdraws all set-ups of which no byte was written.
     pub fn take_queued(&mut self) -> Vec<CallId> {
-        let out: Vec<CallId> = self.out.keys().copied().collect();
+        let out: Vec<CallId> = self.attempts.keys().copied().collect();
         out.into_iter().filter(|call| self.withdraw(*call)).collect()
     }
 
-    /// Something came on it; returns whether that answers a set-up that waits.
-    pub fn heard(&mut self, about: Option<CallId>, now: Micros) -> bool {
-        if let Some(since) = self.owes {
-            self.longest = (self.longest - self.longest / FORGETS).max(now - since);
+    /// Handles a received message; returns whether it answers an attempt.
+    pub fn received(&mut self, about: Option<CallId>, now: Micros) -> bool {
+        if let Some(since) = self.awaiting_since {
+            self.longest_response =
+                (self.longest_response - self.longest_response / DECAY_DIVISOR).max(now - since);
         }
-        self.heard = now;
-        self.releases.heard(now);
+        self.last_received = now;
+        self.releases.received(now);
         if about.is_some() {
-            let (pause, mean) = (now - self.word, self.pause);
-            self.pause = Some(mean.map_or(pause, |mean| mean - mean / WORDS + pause / WORDS));
-            self.word = now;
+            let (interval, mean) = (now - self.last_message, self.mean_interval);
+            self.mean_interval =
+                Some(mean.map_or(interval, |mean| mean - mean / MEAN_DIVISOR + interval / MEAN_DIVISOR));
+            self.last_message = now;
         }
-        let answers = about.is_some_and(|call| self.out.remove(&call).is_some());
-        self.owes = (!self.out.is_empty()).then_some(now);
+        let answers = about.is_some_and(|call| self.attempts.remove(&call).is_some());
+        self.awaiting_since = (!self.attempts.is_empty()).then_some(now);
         answers
     }
 
-    /// How long it may owe a word.
-    pub fn patience(&self, of_all: Pauses) -> Micros {
-        (PAUSES * self.longest).max(of_all.rare()).clamp(SOON, LATE)
+    /// How long a response may be outstanding.
+    pub fn patience(&self, response_times: ResponseTimes) -> Micros {
+        (PATIENCE_FACTOR * self.longest_response)
+            .max(response_times.slow_response())
+            .clamp(MIN_PATIENCE, MAX_PATIENCE)
     }
 
-    /// From when on it is silent, where it owes a word.
-    pub fn silent_from(&self, of_all: Pauses) -> Option<Micros> {
-        self.owes.map(|since| since + self.patience(of_all))
+    /// When the connection counts as silent, where a response is outstanding.
+    pub fn silent_from(&self, response_times: ResponseTimes) -> Option<Micros> {
+        self.awaiting_since.map(|since| since + self.patience(response_times))
     }
 
-    /// It owes nothing, and has brought nothing for longer than it lately did, or than the limit for a
-    /// release allows: what follows a test that is not answered takes its time too.
-    pub fn is_quiet(&self, of_all: Pauses, now: Micros) -> bool {
-        let latest = NOTICED - NO_PROOF - self.patience(of_all);
-        let usual = self.pause.map_or(latest, |pause| (QUIET * pause).clamp(SOON_QUIET, latest));
-        self.owes.is_none() && now >= self.heard + usual
+    /// Whether no response is outstanding, and nothing was received for longer than is usual on this
+    /// connection, or than the limit for a release allows: the detection that follows an unanswered probe
+    /// takes time too.
+    pub fn is_idle(&self, response_times: ResponseTimes, now: Micros) -> bool {
+        let latest = MAX_DETECTION_TIME - REPLACEMENT_TIMEOUT - self.patience(response_times);
+        let usual = self
+            .mean_interval
+            .map_or(latest, |interval| (IDLE_FACTOR * interval).clamp(MIN_IDLE_TIME, latest));
+        self.awaiting_since.is_none() && now >= self.last_received + usual
     }
 
-    /// Lets go of one that is well and on which nothing waits. The server may be writing a release on it at
-    /// this moment, so it is read on until the server ends it too.
+    /// Ends a healthy connection without unanswered attempts. The server may be writing a release on it at
+    /// this moment, so it is read until the server closes it too.
     pub fn finish(self) {
-        debug_assert!(self.out.is_empty());
+        debug_assert!(self.attempts.is_empty());
         if !self.outbox.post(ToServer::Finish) {
             self.outbox.cut();
         }
     }
 
-    pub fn end(self, untold: &mut Untold) -> Vec<CallId> {
+    pub fn close(self, pending_releases: &mut PendingReleases) -> Vec<CallId> {
         self.outbox.cut();
-        let out: Vec<CallId> = self.out.into_keys().collect();
-        untold.connection_ended(&out, self.releases);
+        let out: Vec<CallId> = self.attempts.into_keys().collect();
+        pending_releases.connection_ended(&out, self.releases);
         out
     }
 }
--- a/agent/src/net/owner.rs
+++ b/agent/src/net/owner.rs
@@ -19,7 +19,7 @@
 use settle::Deferred;
 
 use super::copies::{Copies, CopiesEnd};
-use super::links::{Links, OutOfReach, Silence, Watch};
+use super::links::{LinkAction, Links, ReadProgress, UnreachableServer};
 use crate::ports::conn::Outbox;
 use crate::ports::{log, Input, LinkId, OnDuty, Shared, Snapshot, ToClient, Way};
 use crate::trace;
@@ -167,7 +167,11 @@
             self.drain(&mut queue);
             let now = self.shared.clock.now();
             let is_due = self.core.next_timer().is_some_and(|at| at <= now) || self.links.are_overdue();
-            if self.core.has_set_up_to_send() || self.links.opens() || is_due || !self.deferred.is_empty() {
+            if self.core.has_set_up_to_send()
+                || self.links.has_opening()
+                || is_due
+                || !self.deferred.is_empty()
+            {
                 self.settle(&mut queue).await;
             }
             self.polled = self.shared.clock.now();
@@ -228,7 +232,7 @@
                 if self.unreachable.remove(&link.server) {
                     log::event(format_args!("server {}: reached again", link.server.0));
                 }
-                let (both, out) = self.links.up(link, outbox, now);
+                let (both, out) = self.links.connected(link, outbox, now);
                 for link in both {
                     self.test(link);
                 }
@@ -236,7 +240,7 @@
             }
             Input::LinkLost { link, loss } if self.links.is_current(link) => {
                 trace::link(link, format_args!("is lost: {loss:?}"));
-                let out = self.links.lost(link, loss, now);
+                let out = self.links.connection_lost(link, loss, now);
                 self.attempts_lost(now, link.server, out, "went with its connection");
                 if matches!(loss, LinkLoss::Refused | LinkLoss::Unanswered) {
                     if self.unreachable.insert(link.server) {
@@ -246,25 +250,25 @@
                 }
             }
             Input::Progress { link } if self.links.is_current(link) => {
-                self.links.heard(link, None, false, now);
+                self.links.received(link, None, false, now);
             }
             Input::Answered { link, call, description } if self.links.is_current(link) => {
-                self.links.heard(link, Some(call), false, now);
+                self.links.received(link, Some(call), false, now);
                 self.core.server_answered(now, link.server, call, description)
             }
             Input::Ended { link, call, cause, note, report } if self.links.is_current(link) => {
-                self.links.heard(link, Some(call), false, now);
+                self.links.received(link, Some(call), false, now);
                 if let Some(copies) = &mut self.copies {
                     copies.release_came(link, call);
                 }
                 self.core.server_ended(now, link.server, call, cause, note, report)
             }
             Input::Reported { link, report } if self.links.is_current(link) => {
-                self.links.heard(link, None, false, now);
+                self.links.received(link, None, false, now);
                 self.core.report(now, link.server, report)
             }
             Input::Tested { link, call, passed, report } if self.links.is_current(link) => {
-                self.links.heard(link, None, true, now);
+                self.links.received(link, None, true, now);
                 if let Some((server, sent)) = self.probes.remove(&call) {
                     self.core.probed(now, server, passed, now - sent, report);
                 }
@@ -335,7 +339,7 @@
         let entries: Vec<Entry> = servers.iter().map(|(entry, _)| entry.clone()).collect();
         self.core.update_servers(now, source, kind, &entries);
         for (entry, way) in &servers {
-            if entry.state != Readiness::Gone && self.links.listed(entry.server, *way, now) {
+            if entry.state != Readiness::Gone && self.links.set_address(entry.server, *way, now) {
                 self.core.link_lost(now, entry.server, LinkLoss::Dropped);
             }
         }
@@ -350,7 +354,7 @@
             if state == Readiness::Ready {
                 continue;
             }
-            for call in self.links.take_waiting(server) {
+            for call in self.links.withdraw_all(server) {
                 self.not_sent(now, server, call, NotSent::Withdrawn);
             }
             if state == Readiness::Gone && self.links.remove(server) {
@@ -377,32 +381,32 @@
 
     fn keep_links(&mut self) {
         let now = self.shared.clock.now();
-        for (server, call, reason) in self.links.open(now) {
+        for (server, call, reason) in self.links.send_waiting(now) {
             self.not_sent(now, server, call, reason);
         }
-        for (link, way) in self.links.due(now) {
+        for (link, way) in self.links.take_due_dials(now) {
             (self.dial)(link, way);
         }
         let starting = self.core.lifecycle().state() == State::Starting;
         if starting && (self.links.are_settled() || now >= self.started + READY_WITHIN) {
             self.core.update_lifecycle(now, |lifecycle| lifecycle.set_ready());
         }
-        let silence = Silence { now, read_until: self.read_until };
-        for found in self.links.watch(silence, |server| self.core.has_established_call_at(server)) {
+        let silence = ReadProgress { now, read_until: self.read_until };
+        for found in self.links.check_silence(silence, |server| self.core.has_established_call_at(server)) {
             match found {
-                Watch::Test(link) => self.test(link),
-                Watch::Relieve(link, way) => {
+                LinkAction::Probe(link) => self.test(link),
+                LinkAction::DialReplacement(link, way) => {
                     let server = link.server.0;
                     log::event(format_args!("server {server}: its connection is silent, another is dialled"));
                     (self.dial)(link, way);
                 }
-                Watch::FollowUp(link, way) => (self.dial)(link, way),
-                Watch::Reset(server, calls) => {
+                LinkAction::DialFollowUp(link, way) => (self.dial)(link, way),
+                LinkAction::AttemptsLost(server, calls) => {
                     self.attempts_lost(now, server, calls, "went with a connection that stayed silent");
                 }
             }
         }
-        for OutOfReach { server, silent_for } in self.links.out_of_reach(silence) {
+        for UnreachableServer { server, silent_for } in self.links.take_unreachable(silence) {
             let ended = self.core.server_unreachable(now, server);
             log::event(format_args!(
                 "server {}: out of reach, nothing heard for {:.1} s, {ended} calls there are released",
@@ -431,7 +435,7 @@
         }
         let (now, call) = (self.shared.clock.now(), self.shared.new_call());
         self.probes.retain(|_, (_, sent)| now - *sent < 10_000_000);
-        if self.links.test(link, call, now) {
+        if self.links.probe(link, call, now) {
             self.probes.insert(call, (link.server, now));
         }
     }
