--- a/agent/src/fleet/mod.rs
+++ b/agent/src/fleet/mod.rs
@@ -30,7 +30,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, Duration, MissedTickBehavior};
 
-use crate::net::copies::CopiesEnd;
+use crate::net::copies::ReplicationHandle;
 use crate::ports::copies::Lease;
 use crate::ports::{Input, OnDuty, Shared, Snapshot};
 use config::FleetConfig;
@@ -83,7 +83,10 @@
     ///
     /// # Errors
     /// The directory can't be used, or the address can't be listened on.
-    pub fn start(config: FleetConfig, shared: Shared) -> Result<(Self, Option<CopiesEnd>), FleetError> {
+    pub fn start(
+        config: FleetConfig,
+        shared: Shared,
+    ) -> Result<(Self, Option<ReplicationHandle>), FleetError> {
         let io = |what: String| move |error| FleetError::Io { what, error };
         let seed = shared.new_call().0;
         let listener =
@@ -122,11 +125,11 @@
         let (notes, noted) = mpsc::channel(NOTES);
         let (news, comes) = mpsc::channel(NEWS);
         let copied = config.copies.map(|copied| {
-            let end = CopiesEnd {
+            let end = ReplicationHandle {
                 notes,
                 lease: lease.clone(),
-                after_copies: copied.after_copies,
-                refuse_short: copied.refuse_short,
+                wait_for_replicas: copied.after_copies,
+                refuse_when_degraded: copied.refuse_short,
             };
             spawn_local(tell_news(shared.inputs.clone(), comes));
             (end, Copies::new(copied, &me, lease, noted, news))
--- a/agent/src/net/owner.rs
+++ b/agent/src/net/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of the core: hands it what comes in and carries out what follows.
+//! The owner of the core: the task that hands inputs to the core and carries out the effects that follow.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -18,22 +18,23 @@
 use delivery::UnsentReleases;
 use settle::Deferred;
 
-use super::copies::{Copies, CopiesEnd};
+use super::copies::{ReplicationGate, ReplicationHandle};
 use super::links::{LinkAction, Links, ReadProgress, UnreachableServer};
 use crate::ports::conn::Outbox;
 use crate::ports::{log, Input, LinkId, OnDuty, Shared, Snapshot, ToClient, Way};
 use crate::trace;
 
-/// It looks so often whether all is answered.
-const LOOK: Micros = 20_000;
+/// Interval of the checks while the process is starting or stopping, or effects wait for replication.
+const POLL_INTERVAL: Micros = 20_000;
 
-/// It serves once each server listed at the start was dialled with some end, and after this in any case.
-const READY_WITHIN: Micros = 1_000_000;
+/// The process begins to serve once the first dial of each listed server has ended, and after this time in
+/// any case.
+const MAX_STARTUP_WAIT: Micros = 1_000_000;
 
-/// Pressure is looked at so often.
-const PRESSURE: Micros = 1_000_000;
+/// Interval of the checks of the servers' load.
+const PRESSURE_INTERVAL: Micros = 1_000_000;
 
-/// Has the front of a way dial a server. The front tells of the connection as inputs.
+/// Starts a dial to a server. The front in question reports the connection in inputs.
 pub type Dial = Rc<dyn Fn(LinkId, Way)>;
 
 pub struct Owner {
@@ -42,26 +43,26 @@
     dial: Dial,
     clients: BTreeMap<ClientId, Outbox<ToClient>>,
     links: Links,
-    /// Servers of which the last dial failed.
+    /// Servers whose last dial failed.
     unreachable: BTreeSet<ServerId>,
-    /// Where what is promised is copied to others.
-    copies: Option<Copies>,
+    /// Replication of call states, where it is enabled.
+    replication: Option<ReplicationGate>,
     deferred: Deferred,
     unsent: UnsentReleases,
-    /// Probes that are out, with their servers and when they left.
+    /// Unanswered probes, with their servers and when they were sent.
     probes: BTreeMap<CallId, (ServerId, Micros)>,
     started: Micros,
-    /// What follows its own end takes so long.
-    farewell: Micros,
-    /// When the connections were last polled: what is read now has come since.
-    polled: Micros,
-    /// How long its last turn took, while it is stopping: the next one may take as long.
-    turn: Micros,
-    /// All that had arrived by then was read.
+    /// Time reserved for what the process does after [`Owner::run`] has returned.
+    exit_reserve: Micros,
+    /// When the connections were last polled: input read now arrived after this time.
+    last_read: Micros,
+    /// Duration of the last iteration, while the process is stopping: the next one may take as long.
+    last_iteration: Micros,
+    /// Everything that had arrived by this time was read.
     read_until: Micros,
-    /// What clients that are told were last told of the servers' pressure, and when it is looked at again.
+    /// The pressure level last sent to the clients that get it, and the time of the next check.
     pressure: u8,
-    next_pressure: Micros,
+    next_pressure_check: Micros,
 }
 
 impl Owner {
@@ -74,41 +75,42 @@
             clients: BTreeMap::new(),
             links: Links::default(),
             unreachable: BTreeSet::new(),
-            copies: None,
+            replication: None,
             deferred: Deferred::default(),
             unsent: UnsentReleases::default(),
             probes: BTreeMap::new(),
             started,
-            farewell: 0,
-            polled: started,
-            turn: 0,
+            exit_reserve: 0,
+            last_read: started,
+            last_iteration: 0,
             read_until: started,
             pressure: 0,
-            next_pressure: 0,
+            next_pressure_check: 0,
         }
     }
 
-    /// Has what is promised copied to others from now on.
-    pub fn copy(&mut self, end: CopiesEnd) {
+    /// Enables the replication of call states.
+    pub fn enable_replication(&mut self, end: ReplicationHandle) {
         self.core.enable_replication();
-        self.copies = Some(Copies::new(end));
+        self.replication = Some(ReplicationGate::new(end));
     }
 
-    /// Ends so much sooner where it is told to stop, for what follows [`Owner::run`].
-    pub fn leave_time(&mut self, farewell: Micros) {
-        self.farewell = farewell;
+    /// Reserves time before the exit deadline for what follows [`Owner::run`].
+    pub fn reserve_exit_time(&mut self, exit_reserve: Micros) {
+        self.exit_reserve = exit_reserve;
     }
 
-    /// Tells clients whose signalling has a word for it how pressed the servers are: 0 for none, 1 for some,
-    /// 2 for half of them and 3 for all.
-    fn tell_pressure(&mut self) {
+    /// Notifies clients whose signalling can express it of the servers' load level: 0 when no server is
+    /// pressed, 1 for some, 2 for at least half of them and 3 for all.
+    fn notify_pressure(&mut self) {
         let now = self.shared.clock.now();
-        // Those that are told come last in the order of ids.
-        let told = self.clients.keys().next_back().is_some_and(|client| client.is_circuit_bound());
-        if now < self.next_pressure || !told || self.core.lifecycle().state() != State::Serving {
+        // Circuit-bound clients, which are notified, come last in the order of ids.
+        let has_listeners = self.clients.keys().next_back().is_some_and(|client| client.is_circuit_bound());
+        if now < self.next_pressure_check || !has_listeners || self.core.lifecycle().state() != State::Serving
+        {
             return;
         }
-        self.next_pressure = now + PRESSURE;
+        self.next_pressure_check = now + PRESSURE_INTERVAL;
         let (mut ready, mut pressed) = (0, 0);
         for (entry, _, image) in self.core.servers(now) {
             if entry.state == Readiness::Ready {
@@ -129,35 +131,35 @@
         }
     }
 
-    /// Serves until the process is to end; returns by when it has to have ended, where it was told to stop.
+    /// Serves until the process has to exit; returns the exit deadline, where the process was told to stop.
     pub async fn run(mut self, mut queue: mpsc::Receiver<Input>) -> Option<Micros> {
         let mut began = self.shared.clock.now();
         loop {
-            self.keep_links();
-            self.tell_pressure();
-            self.look_at_copies();
-            self.carry_out();
+            self.maintain_links();
+            self.notify_pressure();
+            self.process_replication();
+            self.handle_all_effects();
             let now = self.shared.clock.now();
-            self.turn = now - began;
-            // What comes in the moment of leaving is taken all the same, while there is time for it.
-            if self.is_done(now) {
-                let more_came = self.settle(&mut queue).await;
-                self.turn = self.shared.clock.now() - began;
-                if !more_came || self.is_out_of_time() {
+            self.last_iteration = now - began;
+            // Input that arrives at this moment is still handled, while there is time for it.
+            if self.can_exit(now) {
+                let received_more = self.settle(&mut queue).await;
+                self.last_iteration = self.shared.clock.now() - began;
+                if !received_more || self.is_out_of_time() {
                     break;
                 }
             }
             let starting = self.core.lifecycle().state() == State::Starting;
-            let waits = self.copies.as_ref().is_some_and(Copies::waits);
+            let has_pending = self.replication.as_ref().is_some_and(ReplicationGate::has_pending);
             let stopping = self.core.lifecycle().state() == State::Stopping;
-            let look = (stopping || starting || waits).then_some(now + LOOK);
-            let look = if self.deferred.is_empty() { look } else { Some(now) };
-            let wake = [self.core.next_timer(), self.links.next_due(), look].into_iter().flatten().min();
+            let poll_at = (stopping || starting || has_pending).then_some(now + POLL_INTERVAL);
+            let poll_at = if self.deferred.is_empty() { poll_at } else { Some(now) };
+            let wake = [self.core.next_timer(), self.links.next_due(), poll_at].into_iter().flatten().min();
             let wake = wake.unwrap_or(now + 1_000_000);
             tokio::select! {
                 biased;
                 input = queue.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle(input),
                     None => break,
                 },
                 _ = sleep_until(self.shared.clock.instant(wake)) => {}
@@ -174,9 +176,9 @@
             {
                 self.settle(&mut queue).await;
             }
-            self.polled = self.shared.clock.now();
-            self.core.run_timers(self.polled);
-            self.answer_all_in_time();
+            self.last_read = self.shared.clock.now();
+            self.core.run_timers(self.last_read);
+            self.answer_all_before_deadline();
         }
         self.flush(&mut queue).await;
         let counts = self.core.counts();
@@ -193,10 +195,10 @@
         self.core.lifecycle().exit_deadline()
     }
 
-    pub fn take(&mut self, input: Input) {
+    pub fn handle(&mut self, input: Input) {
         let now = self.shared.clock.now();
         trace::came(&input);
-        self.look_at_doubt(now);
+        self.check_ownership(now);
         match input {
             Input::ClientOpened { client, peer, outbox } => {
                 if let Some(before) = self.clients.insert(client, outbox) {
@@ -206,22 +208,25 @@
             }
             Input::ClientClosed { client } => {
                 self.clients.remove(&client);
-                self.unsent.forget(client);
+                self.unsent.remove_client(client);
                 self.core.client_closed(now, client);
             }
             Input::ClientAway { client, away } => self.core.set_client_unreachable(client, away),
-            Input::Offer { client, request } => self.core.offer(now, self.polled, client, request),
+            Input::Offer { client, request } => self.core.offer(now, self.last_read, client, request),
             Input::Unfit { client, call, class } => self.core.offer_invalid(client, call, class),
             Input::ClientEnded { client, call, cause } => {
-                if let Some(copies) = &mut self.copies {
-                    copies.drop_answer(call);
+                if let Some(replication) = &mut self.replication {
+                    replication.drop_answer(call);
                 }
                 self.core.client_ended(now, client, call, cause)
             }
             Input::ClientTested { client, call } => {
                 self.core.client_health_checked(now, client);
                 let passes = self.core.lifecycle().passes_health_check();
-                self.tell(client, if passes { ToClient::Passed(call) } else { ToClient::NotPassed(call) });
+                self.send_or_cut(
+                    client,
+                    if passes { ToClient::Passed(call) } else { ToClient::NotPassed(call) },
+                );
             }
             Input::ClientPaused { client, inputs } => self.core.client_paused(now, client, inputs),
             Input::ReleaseSent { client, call, at } => self.release_sent(at, client, call),
@@ -230,11 +235,11 @@
             Input::LinkUp { link, outbox } if self.links.is_current(link) => {
                 trace::link(link, "is up");
                 if self.unreachable.remove(&link.server) {
-                    log::event(format_args!("server {}: reached again", link.server.0));
+                    log::event(format_args!("server {}: reachable again", link.server.0));
                 }
                 let (both, out) = self.links.connected(link, outbox, now);
                 for link in both {
-                    self.test(link);
+                    self.probe(link);
                 }
                 self.attempts_lost(now, link.server, out, "went with a connection that another replaced");
             }
@@ -244,7 +249,7 @@
                 self.attempts_lost(now, link.server, out, "went with its connection");
                 if matches!(loss, LinkLoss::Refused | LinkLoss::Unanswered) {
                     if self.unreachable.insert(link.server) {
-                        log::event(format_args!("server {}: cannot be reached: {loss:?}", link.server.0));
+                        log::event(format_args!("server {}: unreachable: {loss:?}", link.server.0));
                     }
                     self.core.link_lost(now, link.server, loss);
                 }
@@ -258,8 +263,8 @@
             }
             Input::Ended { link, call, cause, note, report } if self.links.is_current(link) => {
                 self.links.received(link, Some(call), false, now);
-                if let Some(copies) = &mut self.copies {
-                    copies.release_came(link, call);
+                if let Some(replication) = &mut self.replication {
+                    replication.release_received(link, call);
                 }
                 self.core.server_ended(now, link.server, call, cause, note, report)
             }
@@ -273,7 +278,7 @@
                     self.core.probed(now, server, passed, now - sent, report);
                 }
             }
-            // Words of a connection that was already let go.
+            // A message of a connection that was already closed.
             Input::Ended { link, call, cause, .. } => {
                 self.core.server_ended_late(now, link.server, call, cause);
             }
@@ -283,20 +288,20 @@
             | Input::Answered { .. }
             | Input::Reported { .. }
             | Input::Tested { .. } => {}
-            Input::Listed { source, kind, servers } => self.listed(source, kind, servers),
+            Input::Listed { source, kind, servers } => self.update_servers(source, kind, servers),
             Input::Hold(servers) => {
                 self.core.set_held_servers(now, &servers);
-                self.leave_not_ready(now);
+                self.withdraw_from_unready(now);
             }
-            Input::Snapshot(asked) => {
+            Input::Snapshot(reply) => {
                 let held =
                     self.core.held_servers().map(|server| (server, self.core.is_busy(server))).collect();
                 let servers = self.core.servers(now).collect();
                 let (unanswered, standing) = (self.core.unanswered_calls(), self.core.established_calls());
                 let counts = self.core.counts().clone();
-                // Whoever asked may have gone meanwhile.
+                // The requester may be gone.
                 let (targets, targets_disabled) = self.core.targets(now);
-                let _ = asked.send(Snapshot {
+                let _ = reply.send(Snapshot {
                     counts,
                     unanswered,
                     standing,
@@ -307,34 +312,34 @@
                     held,
                     fleet: self.shared.fleet.borrow().clone(),
                     copies: self.shared.copies.get(),
-                    uncopied: self.copies.as_ref().map_or(0, |copies| copies.uncopied),
+                    unreplicated: self.replication.as_ref().map_or(0, |replication| replication.unreplicated),
                     servers,
                 });
             }
-            Input::Copies(news) => self.heard_of_copies(now, news),
-            Input::Duty(wanted, asked) => {
+            Input::Copies(event) => self.handle_replication_event(now, event),
+            Input::Duty(command, reply) => {
                 let before = self.core.lifecycle().state();
-                let done = self.core.update_lifecycle(now, |lifecycle| match wanted {
+                let done = self.core.update_lifecycle(now, |lifecycle| match command {
                     OnDuty::Ask => Ok(()),
                     OnDuty::Standby => lifecycle.enter_standby(now),
                     OnDuty::Active => lifecycle.resume_serving(),
                 });
                 let state = self.core.lifecycle().state();
                 if state != before {
-                    self.duty_changed(state);
+                    self.lifecycle_changed(state);
                 }
-                let _ = asked.send(done.map(|()| state));
+                let _ = reply.send(done.map(|()| state));
             }
             Input::Stop { replaced, at } => {
                 let unanswered = self.core.unanswered_calls();
                 log::event(format_args!("told to stop, {unanswered} set-ups are unanswered"));
                 self.core.stop(at, replaced);
-                self.duty_changed(State::Stopping);
+                self.lifecycle_changed(State::Stopping);
             }
         }
     }
 
-    pub fn listed(&mut self, source: ListSource, kind: ListKind, servers: Vec<(Entry, Way)>) {
+    pub fn update_servers(&mut self, source: ListSource, kind: ListKind, servers: Vec<(Entry, Way)>) {
         let now = self.shared.clock.now();
         let entries: Vec<Entry> = servers.iter().map(|(entry, _)| entry.clone()).collect();
         self.core.update_servers(now, source, kind, &entries);
@@ -343,12 +348,12 @@
                 self.core.link_lost(now, entry.server, LinkLoss::Dropped);
             }
         }
-        self.leave_not_ready(now);
+        self.withdraw_from_unready(now);
     }
 
-    /// What waits for servers that are not ready any more is not sent there, and those that are gone are
-    /// let go.
-    fn leave_not_ready(&mut self, now: Micros) {
+    /// Withdraws the attempts that wait for servers which are no longer ready, and closes the connections to
+    /// those that are gone.
+    fn withdraw_from_unready(&mut self, now: Micros) {
         let all: Vec<_> = self.core.servers(now).map(|(entry, ..)| (entry.server, entry.state)).collect();
         for (server, state) in all {
             if state == Readiness::Ready {
@@ -364,11 +369,11 @@
         }
     }
 
-    /// Tells the clients that have a word for it in their signalling.
-    fn duty_changed(&self, state: State) {
+    /// Notifies the clients whose signalling can express the lifecycle state.
+    fn lifecycle_changed(&self, state: State) {
         match state {
-            State::Starting | State::Serving => log::event("active, clients are welcome"),
-            State::Standby => log::event("standby, clients are sent away"),
+            State::Starting | State::Serving => log::event("active, accepting clients"),
+            State::Standby => log::event("standby, draining clients"),
             State::Stopping => {}
         }
         for outbox in self.clients.values() {
@@ -379,7 +384,7 @@
         }
     }
 
-    fn keep_links(&mut self) {
+    fn maintain_links(&mut self) {
         let now = self.shared.clock.now();
         for (server, call, reason) in self.links.send_waiting(now) {
             self.not_sent(now, server, call, reason);
@@ -388,13 +393,13 @@
             (self.dial)(link, way);
         }
         let starting = self.core.lifecycle().state() == State::Starting;
-        if starting && (self.links.are_settled() || now >= self.started + READY_WITHIN) {
+        if starting && (self.links.are_settled() || now >= self.started + MAX_STARTUP_WAIT) {
             self.core.update_lifecycle(now, |lifecycle| lifecycle.set_ready());
         }
-        let silence = ReadProgress { now, read_until: self.read_until };
-        for found in self.links.check_silence(silence, |server| self.core.has_established_call_at(server)) {
+        let progress = ReadProgress { now, read_until: self.read_until };
+        for found in self.links.check_silence(progress, |server| self.core.has_established_call_at(server)) {
             match found {
-                LinkAction::Probe(link) => self.test(link),
+                LinkAction::Probe(link) => self.probe(link),
                 LinkAction::DialReplacement(link, way) => {
                     let server = link.server.0;
                     log::event(format_args!("server {server}: its connection is silent, another is dialled"));
@@ -406,10 +411,10 @@
                 }
             }
         }
-        for UnreachableServer { server, silent_for } in self.links.take_unreachable(silence) {
+        for UnreachableServer { server, silent_for } in self.links.take_unreachable(progress) {
             let ended = self.core.server_unreachable(now, server);
             log::event(format_args!(
-                "server {}: out of reach, nothing heard for {:.1} s, {ended} calls there are released",
+                "server {}: unreachable, nothing received for {:.1} s; releasing its {ended} calls",
                 server.0,
                 silent_for as f64 / 1e6
             ));
@@ -428,8 +433,8 @@
         }
     }
 
-    /// Tests a connection, where the settings allow it.
-    fn test(&mut self, link: LinkId) {
+    /// Probes a connection, where the settings allow it.
+    fn probe(&mut self, link: LinkId) {
         if !self.shared.site.decisions.limits.may_probe {
             return;
         }
--- a/agent/src/net/owner/delivery.rs
+++ b/agent/src/net/owner/delivery.rs
@@ -1,5 +1,5 @@
-//! The owner's part in the delivery of releases: what waits in the send queues of callers' connections can be
-//! taken back until its first byte leaves.
+//! Delivery of releases: a release that waits in the send queue of a caller's connection can be withdrawn
+//! until its first byte is written.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 use crate::ports::dispatch::Dispatch;
 use crate::ports::ToClient;
 
-/// Releases that have not left whole, as far as is known.
+/// Releases that are not known to be written completely.
 #[derive(Default)]
 pub(super) struct UnsentReleases(BTreeMap<(ClientId, CallId), Dispatch>);
 
 impl UnsentReleases {
-    /// Of a connection that is gone.
-    pub fn forget(&mut self, client: ClientId) {
+    /// Removes the releases of a connection that is closed.
+    pub fn remove_client(&mut self, client: ClientId) {
         if !self.0.is_empty() {
             self.0.retain(|(of, _), _| *of != client);
         }
@@ -25,13 +25,13 @@
 }
 
 impl Owner {
-    /// Gives a release to a caller's connection.
-    pub(super) fn give_release(&mut self, client: ClientId, call: CallId, cause: ReleaseCause) {
+    /// Queues a release on a caller's connection.
+    pub(super) fn deliver_release(&mut self, client: ClientId, call: CallId, cause: ReleaseCause) {
         let dispatch = Dispatch::default();
         if !client.is_circuit_bound() && self.clients.contains_key(&client) {
             self.unsent.0.insert((client, call), dispatch.clone());
         }
-        self.tell(client, ToClient::Released { call, cause, dispatch });
+        self.send_or_cut(client, ToClient::Released { call, cause, dispatch });
     }
 
     pub(super) fn release_sent(&mut self, at: Micros, client: ClientId, call: CallId) {
@@ -39,12 +39,12 @@
         self.core.release_sent(at, client, call);
     }
 
-    /// Whether a connection takes nothing more for now.
+    /// Whether a connection accepts no more data for now.
     pub(super) fn is_blocked(&self, client: ClientId) -> bool {
         self.clients.get(&client).is_some_and(Outbox::is_blocked)
     }
 
-    /// Takes a release back from a connection that takes nothing.
+    /// Withdraws a release from a blocked connection.
     pub(super) fn withdraw_release(&mut self, now: Micros, client: ClientId, call: CallId) {
         match self.unsent.0.remove(&(client, call)) {
             Some(dispatch) if !dispatch.has_begun() && dispatch.cancel() => {
--- a/agent/src/net/owner/effects.rs
+++ b/agent/src/net/owner/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the core wants done, and puts messages on their way.
+//! Carries out the core's effects and sends messages.
 
 use steprelay_core::{ClientId, Effect, NotSent, SetUp};
 use steprelay_decisions::{Micros, ServerId};
@@ -9,67 +9,69 @@
 use crate::trace;
 
 impl Owner {
-    pub(super) fn carry_out(&mut self) {
-        self.do_all();
-        // Behind what takes them back.
+    pub(super) fn handle_all_effects(&mut self) {
+        self.handle_effects();
+        // After the effects that may withdraw the deferred set-ups.
         self.send_deferred();
-        self.do_all();
-        if let Some(copies) = &mut self.copies {
-            copies.number_releases();
-            copies.answer_questions();
+        self.handle_effects();
+        if let Some(replication) = &mut self.replication {
+            replication.number_releases();
+            replication.confirm_barriers();
         }
     }
 
-    fn do_all(&mut self) {
+    fn handle_effects(&mut self) {
         loop {
             let effects = self.core.take_effects();
             if effects.is_empty() {
                 break;
             }
             for effect in effects {
-                self.do_one(effect);
+                self.handle_effect(effect);
             }
         }
     }
 
-    fn do_one(&mut self, effect: Effect) {
+    fn handle_effect(&mut self, effect: Effect) {
         let now = self.shared.clock.now();
         trace::goes(&self.core, now, &effect);
-        if self.copies.is_some() {
-            self.look_at_doubt(now);
+        if self.replication.is_some() {
+            self.check_ownership(now);
             if let Effect::DeliverRelease { client, call, .. } = &effect {
                 if !self.may_release(now, *client, *call) {
                     return;
                 }
             }
-            if let Some(effect) = self.copies.as_mut().and_then(|copies| copies.hold(now, effect)) {
-                self.say(now, effect);
+            if let Some(effect) =
+                self.replication.as_mut().and_then(|replication| replication.hold(now, effect))
+            {
+                self.execute(now, effect);
             }
             return;
         }
-        self.say(now, effect);
+        self.execute(now, effect);
     }
 
-    pub(super) fn say(&mut self, now: Micros, effect: Effect) {
-        if let Some(copies) = &self.copies {
-            copies.trace_lease(&effect);
+    pub(super) fn execute(&mut self, now: Micros, effect: Effect) {
+        if let Some(replication) = &self.replication {
+            replication.trace_lease(&effect);
         }
         match effect {
             Effect::SetUp { server, set_up } => {
                 self.deferred.withdraw(set_up.call);
                 let attempt = self.core.attempt_of(set_up.call);
-                if attempt.is_some_and(|(client, _)| self.deferred.waits_for(client)) {
-                    return self.deferred.put(server, set_up);
+                if attempt.is_some_and(|(client, _)| self.deferred.is_active(client)) {
+                    return self.deferred.insert(server, set_up);
                 }
                 self.send(server, set_up);
             }
-            // It has not left.
+            // The set-up was not sent.
             Effect::CancelAttempt { call, .. } if self.deferred.withdraw(call) => {}
             Effect::CancelAttempt { server, call } => {
                 let _ = self.links.post(server, ToServer::GiveUp(call), now);
             }
             Effect::WithdrawSetUp { server, call } => {
-                let waited = self.copies.as_mut().is_some_and(|copies| copies.withdraw(call));
+                let waited = self.replication.as_mut().is_some_and(|replication| replication.withdraw(call));
                 if waited || self.deferred.withdraw(call) || self.links.withdraw(server, call) {
                     self.not_sent(now, server, call, NotSent::Withdrawn);
                 }
@@ -85,19 +87,19 @@
                 }
             }
             Effect::Answer { client, call, description } => {
-                self.tell(client, ToClient::Answer { call, description })
+                self.send_or_cut(client, ToClient::Answer { call, description })
             }
             Effect::FinalAnswer { client, call, verdict } => {
-                self.tell(client, ToClient::Final { call, verdict })
+                self.send_or_cut(client, ToClient::Final { call, verdict })
             }
-            Effect::DeliverRelease { client, call, cause } => self.give_release(client, call, cause),
+            Effect::DeliverRelease { client, call, cause } => self.deliver_release(client, call, cause),
             Effect::WithdrawRelease { client, call } => self.withdraw_release(now, client, call),
-            // Behind what the connection does not take it would never be asked.
+            // Behind data that the connection does not accept, the check would never be made.
             Effect::CheckUnreadInput { client, call } if self.is_blocked(client) => {
                 self.core.no_unread_input(now, client, call);
             }
             Effect::CheckUnreadInput { client, call } => self.post(client, ToClient::AskIfSilent(call)),
-            // It is let go of once it has its answer.
+            // The connection may be closed once its answer was sent.
             Effect::CloseIfIdle { client, .. } | Effect::Pause { client } if self.holds_answer_to(client) => {
             }
             Effect::CloseIfPaused { client, .. } if self.holds_answer_to(client) => {
@@ -113,24 +115,24 @@
                 }
             }
             Effect::DeliveryAbandoned { deliveries, .. } => {
-                let line = format!("a release is given up, {deliveries} connections did not acknowledge it");
+                let line = format!("a release is abandoned, {deliveries} connections did not acknowledge it");
                 self.shared.abandoned.say(now, &line);
             }
             Effect::Log(text) => log::event(text),
             Effect::CallStateChanged { call, state, notify_by } => {
-                if let Some(copies) = &mut self.copies {
-                    copies.note(call, state, notify_by);
+                if let Some(replication) = &mut self.replication {
+                    replication.record_state(call, state, notify_by);
                 }
             }
             Effect::ReleaseAcknowledged { call } => {
-                if let Some(copies) = &mut self.copies {
-                    copies.acknowledged(call);
+                if let Some(replication) = &mut self.replication {
+                    replication.record_acknowledgement(call);
                 }
             }
-            Effect::AnnounceRelease { call } => self.pass_on(now, call),
+            Effect::AnnounceRelease { call } => self.announce_release(now, call),
             Effect::ReleaseDelivered { call } => {
-                if let Some(copies) = &mut self.copies {
-                    copies.given(call);
+                if let Some(replication) = &mut self.replication {
+                    replication.record_delivery(call);
                 }
             }
         }
@@ -138,7 +140,7 @@
 
     pub(super) fn send(&mut self, server: ServerId, set_up: SetUp) {
         let (now, call) = (self.shared.clock.now(), set_up.call);
-        // Its server may have been told to drain since this was decided.
+        // The server may have begun to drain since this was decided.
         let message = ToServer::SetUp(set_up, Dispatch::default());
         let posted = match self.core.is_ready(server) {
             true => self.links.post(server, message, now),
@@ -149,17 +151,17 @@
         }
     }
 
-    /// Puts a message on its way that is not missed where it finds no room: it is said again.
+    /// Queues a message that may be lost where the queue is full: it is sent again.
     pub(super) fn post(&self, client: ClientId, message: ToClient) {
         if let Some(outbox) = self.clients.get(&client) {
             outbox.post(message);
         }
     }
 
-    pub(super) fn tell(&mut self, client: ClientId, message: ToClient) {
+    pub(super) fn send_or_cut(&mut self, client: ClientId, message: ToClient) {
         if self.clients.get(&client).is_some_and(|outbox| !outbox.post(message)) {
             if let Some(outbox) = self.clients.remove(&client) {
-                log::event("a client does not read, its connection is cut");
+                log::event("a client does not read; its connection is closed");
                 outbox.cut();
             }
         }
--- a/agent/src/net/owner/replication.rs
+++ b/agent/src/net/owner/replication.rs
@@ -1,5 +1,5 @@
-//! The owner's part in replication: what it says once others hold copies, what it keeps back while another
-//! member may have taken its calls over, and what it does about calls that change hands.
+//! The owner's part in replication: effects that wait until replicas are stored, effects that are withheld
+//! while another member may have taken over the calls, and calls whose owner changes.
 
 use std::collections::BTreeSet;
 
@@ -8,124 +8,126 @@
 use steprelay_decisions::{CallId, Micros};
 
 use super::Owner;
-use crate::net::copies::{Copies, Doubt, Unanswered};
+use crate::net::copies::{ReplicationGate, UncertainCalls, UndeliveredAnswers};
 use crate::ports::copies;
 use crate::ports::ToServer;
 use crate::trace;
 
 impl Owner {
-    /// Finds out before the next word whether another may have taken over.
-    pub(super) fn look_at_doubt(&mut self, now: Micros) {
-        let Some(copies) = &mut self.copies else { return };
-        match (copies.in_doubt(), copies.was_in_doubt()) {
+    /// Checks, before the next message, whether another member may have taken over.
+    pub(super) fn check_ownership(&mut self, now: Micros) {
+        let Some(replication) = &mut self.replication else { return };
+        match (replication.is_ownership_uncertain(), replication.has_uncertain_calls()) {
             (true, false) => {
-                let mut doubt = Doubt::default();
+                let mut uncertain = UncertainCalls::default();
                 for (call, promise) in self.core.call_states() {
                     let calls = match promise {
-                        CallState::AttemptPending(_) => &mut doubt.out,
-                        CallState::Established(_) | CallState::ReleasePending(..) => &mut doubt.answered,
+                        CallState::AttemptPending(_) => &mut uncertain.pending,
+                        CallState::Established(_) | CallState::ReleasePending(..) => &mut uncertain.answered,
                     };
                     calls.insert(call);
                 }
-                copies.doubt_begins(doubt);
+                replication.begin_uncertainty(uncertain);
                 self.core.set_ownership_uncertain(now, true);
             }
             (false, true) => {
-                let (in_time, unanswered) = copies.doubt_ends(now);
+                let (in_time, unanswered) = replication.end_uncertainty(now);
                 self.core.set_ownership_uncertain(now, false);
-                in_time.into_iter().for_each(|effect| self.say(now, effect));
-                self.leave_unanswered(now, unanswered);
+                in_time.into_iter().for_each(|effect| self.execute(now, effect));
+                self.resolve_undelivered(now, unanswered);
             }
             _ => {}
         }
     }
 
-    /// Lets out what others hold by now, and what can wait no longer.
-    pub(super) fn look_at_copies(&mut self) {
+    /// Carries out the effects whose call states are replicated by now, and those that can wait no longer.
+    pub(super) fn process_replication(&mut self) {
         let now = self.shared.clock.now();
-        self.look_at_doubt(now);
-        let Some(copies) = &mut self.copies else { return };
-        if copies.is_behind() {
-            copies.all(self.core.call_states().collect());
+        self.check_ownership(now);
+        let Some(replication) = &mut self.replication else { return };
+        if replication.needs_full_update() {
+            replication.send_full_update(self.core.call_states().collect());
         }
-        let given_up = copies.given_up(now);
-        let (effects, heard) = copies.due(now);
-        self.give_up(now, given_up);
-        effects.into_iter().for_each(|effect| self.say(now, effect));
-        for (link, call) in heard {
+        let expired = replication.take_expired_answers(now);
+        let (effects, confirmed) = replication.take_due(now);
+        self.fail_answers(now, expired);
+        effects.into_iter().for_each(|effect| self.execute(now, effect));
+        for (link, call) in confirmed {
             if self.links.is_current(link) {
                 let _ = self.links.post(link.server, ToServer::Heard(call), now);
             }
         }
     }
 
-    /// A release is about to leave, behind an answer that waits; whether it may.
+    /// Returns whether a release may be sent; an answer that waits for the same call is sent first.
     pub(super) fn may_release(&mut self, now: Micros, client: ClientId, call: CallId) -> bool {
-        if self.withdraws_answer(now, call) || self.core.withhold_release(now, client, call) {
+        if self.withdraw_uncertain_answer(now, call) || self.core.withhold_release(now, client, call) {
             return false;
         }
-        self.copies.iter_mut().for_each(Copies::release_leaves);
-        let first = self.copies.as_mut().and_then(|copies| copies.answer_first(call));
-        first.into_iter().for_each(|effect| self.say(now, effect));
+        self.replication.iter_mut().for_each(ReplicationGate::release_sent);
+        let first = self.replication.as_mut().and_then(|replication| replication.take_answer(call));
+        first.into_iter().for_each(|effect| self.execute(now, effect));
         true
     }
 
-    /// All members are told that the end of a call is seen to here.
-    pub(super) fn pass_on(&mut self, now: Micros, call: CallId) {
-        self.copies.iter_mut().for_each(|copies| copies.passed_on(call));
-        self.withdraws_answer(now, call);
+    /// Announces to all members that this one handles the end of a call.
+    pub(super) fn announce_release(&mut self, now: Micros, call: CallId) {
+        self.replication.iter_mut().for_each(|replication| replication.record_announcement(call));
+        self.withdraw_uncertain_answer(now, call);
     }
 
-    /// A call is over. Where its answer is held in doubt its caller hears of neither, but that it failed;
-    /// whether it was so.
-    fn withdraws_answer(&mut self, now: Micros, call: CallId) -> bool {
-        let expired = self.copies.as_mut().is_some_and(|copies| copies.expire_doubted_answer(call));
+    /// Handles the end of a call. Where its answer is withheld, its caller gets neither the answer nor the
+    /// release, but a failure; returns whether that is so.
+    fn withdraw_uncertain_answer(&mut self, now: Micros, call: CallId) -> bool {
+        let expired =
+            self.replication.as_mut().is_some_and(|replication| replication.expire_uncertain_answer(call));
         if expired {
             self.core.withdraw_answer(now, call);
         }
         expired
     }
 
-    /// Answers that never went out, and never will.
-    pub(super) fn give_up(&mut self, now: Micros, answers: Vec<Effect>) {
+    /// Reports calls as failed whose answers were not sent and never will be.
+    pub(super) fn fail_answers(&mut self, now: Micros, answers: Vec<Effect>) {
         for effect in answers {
             if let Effect::Answer { client, call, .. } = effect {
-                self.say(now, Effect::FinalAnswer { client, call, verdict: Verdict::Failed });
+                self.execute(now, Effect::FinalAnswer { client, call, verdict: Verdict::Failed });
                 self.core.withdraw_answer(now, call);
             }
         }
     }
 
-    /// A successor has taken these calls over. Whose caller was told nothing yet hears that it failed: at
-    /// once, or when the successor has said that it told it nothing either.
-    pub(super) fn renounce(&mut self, now: Micros, calls: &BTreeSet<CallId>) {
+    /// Handles the loss of calls to a successor. A caller that was told nothing yet is told that its call
+    /// failed: at once, or when the successor has reported that it told the caller nothing either.
+    pub(super) fn relinquish_calls(&mut self, now: Micros, calls: &BTreeSet<CallId>) {
         let queued = self.core.take_back_answers(calls);
-        let Some(copies) = &mut self.copies else { return };
-        let unanswered = copies.renounced(calls, queued);
+        let Some(replication) = &mut self.replication else { return };
+        let unanswered = replication.ownership_lost(calls, queued);
         for effect in &unanswered.fail {
-            if let (Effect::Answer { call, .. }, Some(copies)) = (effect, &mut self.copies) {
-                // What was noted of it last is handed over, too.
-                copies.passed_on(*call);
+            if let (Effect::Answer { call, .. }, Some(replication)) = (effect, &mut self.replication) {
+                // Its last recorded state is handed over, too.
+                replication.record_announcement(*call);
             }
         }
-        self.leave_unanswered(now, unanswered);
+        self.resolve_undelivered(now, unanswered);
         self.core.relinquish(now, calls);
     }
 
-    /// Answers that are never given: their callers are told so, or whoever may have told them is asked.
-    fn leave_unanswered(&mut self, now: Micros, unanswered: Unanswered) {
+    /// Handles answers that are never sent: their callers are told that the call failed, or the successor
+    /// that may have told them something is asked first.
+    fn resolve_undelivered(&mut self, now: Micros, unanswered: UndeliveredAnswers) {
         for call in unanswered.ask {
             trace::replicated(call, "is not answered until its successor says whether it was ended");
             self.core.withdraw_answer(now, call);
         }
-        self.give_up(now, unanswered.fail);
+        self.fail_answers(now, unanswered.fail);
     }
 
-    pub(super) fn heard_of_copies(&mut self, now: Micros, news: ReplicationEvent) {
-        match news {
-            ReplicationEvent::Committed(covered) => {
-                if let Some(copies) = &mut self.copies {
-                    copies.covered(covered);
+    pub(super) fn handle_replication_event(&mut self, now: Micros, event: ReplicationEvent) {
+        match event {
+            ReplicationEvent::Committed(replicated) => {
+                if let Some(replication) = &mut self.replication {
+                    replication.set_replicated(replicated);
                 }
             }
             ReplicationEvent::TakenOver(records) => {
@@ -143,27 +145,30 @@
             ReplicationEvent::OwnershipLost(calls) => {
                 let calls: BTreeSet<CallId> = calls.into_iter().map(copies::call).collect();
                 calls.iter().for_each(|call| trace::replicated(*call, "given up to a successor"));
-                self.renounce(now, &calls);
+                self.relinquish_calls(now, &calls);
             }
             ReplicationEvent::Relinquished(calls) => {
                 let calls: Vec<CallId> = calls.into_iter().map(copies::call).collect();
-                let answers =
-                    self.copies.as_mut().map(|copies| copies.relinquished(&calls)).unwrap_or_default();
-                self.give_up(now, answers);
+                let answers = self
+                    .replication
+                    .as_mut()
+                    .map(|replication| replication.take_relinquished(&calls))
+                    .unwrap_or_default();
+                self.fail_answers(now, answers);
             }
             ReplicationEvent::EndedElsewhere(calls, precedence) => {
                 for call in calls.into_iter().map(copies::call) {
                     trace::replicated(call, "over, as another member says");
-                    self.copies.iter_mut().for_each(|copies| copies.over_elsewhere(call));
+                    self.replication.iter_mut().for_each(|replication| replication.ended_elsewhere(call));
                     if precedence == Precedence::Theirs {
                         self.core.yield_release(call);
                     }
                     self.core.ended_elsewhere(now, call);
                 }
             }
-            ReplicationEvent::Barrier(question) => {
-                if let Some(copies) = &mut self.copies {
-                    copies.confirm(question);
+            ReplicationEvent::Barrier(barrier) => {
+                if let Some(replication) = &mut self.replication {
+                    replication.add_barrier(barrier);
                 }
             }
             ReplicationEvent::AllNotified(calls) => {
@@ -181,12 +186,13 @@
             ReplicationEvent::ReleaseDelivered(calls) => {
                 for call in calls.into_iter().map(copies::call) {
                     trace::replicated(call, "over, as the member that told its caller says");
-                    self.copies.iter_mut().for_each(|copies| copies.over_elsewhere(call));
+                    self.replication.iter_mut().for_each(|replication| replication.ended_elsewhere(call));
                     self.core.delivered_elsewhere(now, call);
                 }
             }
-            ReplicationEvent::Degraded(short) => {
-                let refuse = self.copies.as_mut().is_some_and(|copies| copies.short(short));
+            ReplicationEvent::Degraded(degraded) => {
+                let refuse =
+                    self.replication.as_mut().is_some_and(|replication| replication.set_degraded(degraded));
                 self.core.refuse_unreplicated(refuse);
             }
         }
--- a/agent/src/net/owner/settle.rs
+++ b/agent/src/net/owner/settle.rs
@@ -1,7 +1,8 @@
-//! Hearing what has arrived before anything is sent, and what waits until its caller was heard out.
+//! Reading of all input that has arrived before anything is sent, and set-ups that are deferred until their
+//! caller's input was read.
 //!
-//! A caller may have left behind messages of its own that are still being read. Its set-ups wait for that,
-//! and nobody else's do: on a machine far behind, reading takes seconds.
+//! A caller may have closed its connection and left messages that are still being read. Its own set-ups wait
+//! for them, and those of no other caller: on an overloaded machine, reading takes seconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,21 +14,21 @@
 use super::Owner;
 use crate::ports::Input;
 
-/// Turns of the runtime in which what has arrived reaches the owner: in the first the sockets are looked at,
-/// in the next their tasks read, in the third that of a front hands it on. While more comes it goes on, but
-/// not for ever.
-pub(super) const LEAST_TURNS: usize = 3;
-pub(super) const MOST_TURNS: usize = 12;
-/// Nor for longer than this beyond the least, while set-ups of other callers wait.
-pub(super) const SETTLE_WITHIN: Micros = 100_000;
+/// Number of turns of the runtime in which input that has arrived reaches the owner: in the first the sockets
+/// are polled, in the second their tasks read, in the third the task of a front passes the input on. While
+/// more input arrives, further turns follow, up to a maximum.
+pub(super) const MIN_SETTLE_TURNS: usize = 3;
+pub(super) const MAX_SETTLE_TURNS: usize = 12;
+/// Maximum time spent beyond the minimum number of turns, while set-ups of other callers wait.
+pub(super) const MAX_SETTLE_TIME: Micros = 100_000;
 
-/// Set-ups that wait until their callers are heard out.
+/// Set-ups that wait until their callers' input was read.
 #[derive(Default)]
 pub(super) struct Deferred {
     set_ups: BTreeMap<CallId, (ServerId, SetUp)>,
-    /// Callers of whom more came in the last turn of hearing.
-    unheard: BTreeSet<ClientId>,
-    /// Turns for which the first of them has waited.
+    /// Callers with more input in the last turn.
+    active_callers: BTreeSet<ClientId>,
+    /// Number of turns for which the first of the set-ups has waited.
     turns: usize,
 }
 
@@ -36,16 +37,16 @@
         self.set_ups.is_empty()
     }
 
-    /// Whether a set-up of this caller has to wait.
-    pub fn waits_for(&self, client: ClientId) -> bool {
-        self.unheard.contains(&client)
+    /// Whether set-ups of this caller have to wait.
+    pub fn is_active(&self, client: ClientId) -> bool {
+        self.active_callers.contains(&client)
     }
 
-    pub fn put(&mut self, server: ServerId, set_up: SetUp) {
+    pub fn insert(&mut self, server: ServerId, set_up: SetUp) {
         self.set_ups.insert(set_up.call, (server, set_up));
     }
 
-    /// Takes back a set-up; whether it waited.
+    /// Withdraws a set-up; returns whether it was waiting.
     pub fn withdraw(&mut self, call: CallId) -> bool {
         self.set_ups.remove(&call).is_some()
     }
@@ -56,72 +57,72 @@
 
     fn count_turns(&mut self, turns: usize) {
         self.turns = if self.set_ups.is_empty() { 0 } else { self.turns + turns };
-        if self.turns >= MOST_TURNS {
-            self.unheard.clear();
+        if self.turns >= MAX_SETTLE_TURNS {
+            self.active_callers.clear();
             self.turns = 0;
         }
     }
 }
 
-/// What was taken in at once: whether there was anything, and from which callers.
+/// Result of one read of the queue: whether it held any input, and from which callers.
 pub(super) struct Drained {
     any: bool,
     callers: BTreeSet<ClientId>,
 }
 
 impl Owner {
-    /// Takes in what waits, as far as it waited, and while there is time for it.
+    /// Handles the input that is queued at the start, while there is time for it.
     pub(super) fn drain(&mut self, queue: &mut mpsc::Receiver<Input>) -> Drained {
-        let waits = queue.len();
-        let ends_by = self.core.lifecycle().exit_deadline();
-        let mut drained = Drained { any: waits > 0, callers: BTreeSet::new() };
-        for _ in 0..waits {
+        let queued = queue.len();
+        let exit_by = self.core.lifecycle().exit_deadline();
+        let mut drained = Drained { any: queued > 0, callers: BTreeSet::new() };
+        for _ in 0..queued {
             let Ok(input) = queue.try_recv() else { break };
             drained.callers.extend(input.client());
-            self.take(input);
-            if ends_by.is_some_and(|at| self.shared.clock.now() >= at) {
+            self.handle(input);
+            if exit_by.is_some_and(|at| self.shared.clock.now() >= at) {
                 break;
             }
         }
         drained
     }
 
-    /// Takes in all that has arrived at this machine by now, before anything is sent or a timer is heeded:
-    /// where a caller has gone, or a server has answered, what follows from that comes first. Returns whether
-    /// there was any.
+    /// Handles all input that has arrived at this machine by now, before anything is sent or a timer fires:
+    /// where a caller is gone or a server has answered, the consequences come first. Returns whether there
+    /// was any input.
     pub(super) async fn settle(&mut self, queue: &mut mpsc::Receiver<Input>) -> bool {
         let mut any = false;
         let began = self.shared.clock.now();
-        let until = began + SETTLE_WITHIN;
-        let ends_by = self.core.lifecycle().exit_deadline().unwrap_or(Micros::MAX);
+        let until = began + MAX_SETTLE_TIME;
+        let exit_by = self.core.lifecycle().exit_deadline().unwrap_or(Micros::MAX);
         let mut turns = 0;
-        while turns < MOST_TURNS {
+        while turns < MAX_SETTLE_TURNS {
             turns += 1;
-            // The sockets are looked at before this resumes, and their tasks run before it resumes again.
+            // The sockets are polled before this resumes, and their tasks run before it resumes again.
             yield_now().await;
             let drained = self.drain(queue);
             any |= drained.any;
-            self.deferred.unheard = drained.callers;
+            self.deferred.active_callers = drained.callers;
             let now = self.shared.clock.now();
             let is_over = !drained.any || now >= until;
-            if turns >= LEAST_TURNS && is_over || now >= ends_by {
+            if turns >= MIN_SETTLE_TURNS && is_over || now >= exit_by {
                 break;
             }
         }
-        if turns == MOST_TURNS {
-            self.deferred.unheard.clear();
+        if turns == MAX_SETTLE_TURNS {
+            self.deferred.active_callers.clear();
         }
         self.deferred.count_turns(turns);
         self.read_until = began;
         any
     }
 
-    /// Sends what waited for its caller to be heard out, where nothing has come of it meanwhile.
+    /// Sends the set-ups that waited for their callers' input, unless that input has made them obsolete.
     pub(super) fn send_deferred(&mut self) {
         for (call, (server, set_up)) in self.deferred.take_all() {
             match self.core.attempt_of(call) {
-                Some((client, at)) if at == server && self.deferred.waits_for(client) => {
-                    self.deferred.put(server, set_up);
+                Some((client, at)) if at == server && self.deferred.is_active(client) => {
+                    self.deferred.insert(server, set_up);
                 }
                 Some((_, at)) if at == server => self.send(server, set_up),
                 _ => {}
--- a/agent/src/net/owner/tests/failover.rs
+++ b/agent/src/net/owner/tests/failover.rs
@@ -1,10 +1,11 @@
-//! A member that was taken for lost and wakes: what its callers are told, and by which of two members.
+//! A member that was suspended, counted as lost and resumes: what its callers are told, and by which of the
+//! two members.
 
 use super::*;
 use crate::ports::copies::Note;
 
-/// An owner whose only call has come so far when it falls asleep.
-struct Sleeper {
+/// An owner with one call, at the point where the process is suspended.
+struct SuspendedMember {
     owner: Owner,
     callers: Inbox<ToClient>,
     link: LinkId,
@@ -13,187 +14,196 @@
     notes: mpsc::Receiver<Note>,
 }
 
-impl Sleeper {
+impl SuspendedMember {
     fn new() -> Self {
-        let (owner, callers, link, to_server, lease, notes) = with_noted_copies();
-        let mut sleeper = Sleeper { owner, callers, link, to_server, lease, notes };
-        hears(&mut sleeper.owner, ReplicationEvent::Degraded(false));
-        sleeper
+        let (owner, callers, link, to_server, lease, notes) = with_replication_notes();
+        let mut member = SuspendedMember { owner, callers, link, to_server, lease, notes };
+        replicate(&mut member.owner, ReplicationEvent::Degraded(false));
+        member
     }
 
     fn answered(&mut self) {
         let (link, description) = (self.link, "v=1".into());
-        self.owner.take(Input::Answered { link, call: CALL, description });
+        self.owner.handle(Input::Answered { link, call: CALL, description });
     }
 
-    /// Its lease has run out meanwhile.
-    fn wakes(&mut self) {
+    /// The process resumes after its lease expired.
+    fn resumes(&mut self) {
         self.lease.set(1, 0);
-        self.owner.look_at_copies();
+        self.owner.process_replication();
     }
 
-    /// What its caller is told.
-    fn said(&mut self) -> Vec<ToClient> {
-        self.owner.carry_out();
-        self.owner.look_at_copies();
-        self.owner.carry_out();
+    /// The messages that its caller receives.
+    fn received(&mut self) -> Vec<ToClient> {
+        self.owner.handle_all_effects();
+        self.owner.process_replication();
+        self.owner.handle_all_effects();
         std::iter::from_fn(|| self.callers.next_now()).collect()
     }
 
-    fn is_succeeded(&mut self) {
-        hears(&mut self.owner, ReplicationEvent::OwnershipLost([CALL.0].into()));
+    fn is_taken_over(&mut self) {
+        replicate(&mut self.owner, ReplicationEvent::OwnershipLost([CALL.0].into()));
         self.lease.set(60_000, 1);
     }
 
-    fn noted(&mut self, wanted: impl Fn(&Note) -> bool) -> bool {
-        std::iter::from_fn(|| self.notes.try_recv().ok()).any(|note| wanted(&note))
+    fn notes_sent(&mut self, matches_note: impl Fn(&Note) -> bool) -> bool {
+        std::iter::from_fn(|| self.notes.try_recv().ok()).any(|note| matches_note(&note))
     }
 }
 
-fn is_failed(said: &[ToClient]) -> bool {
-    matches!(said, [ToClient::Final { call: CALL, verdict: Verdict::Failed }])
+fn is_failed(received: &[ToClient]) -> bool {
+    matches!(received, [ToClient::Final { call: CALL, verdict: Verdict::Failed }])
 }
 
-/// Guards against a caller that is told that its call stands after the call was given up: nobody released it.
+/// Guards against an answer that is sent after the call was taken over: nobody would release the call.
 #[test]
-fn says_no_answer_that_was_queued_when_its_call_was_given_up() {
-    let mut sleeper = Sleeper::new();
-    sleeper.answered();
-    // The answer is an effect that was not carried out when the process fell asleep.
-    sleeper.lease.set(1, 0);
-    sleeper.owner.take(Input::Copies(ReplicationEvent::OwnershipLost([CALL.0].into())));
-    assert!(sleeper.said().is_empty(), "its successor may have ended it");
-    assert!(sleeper.noted(|note| *note == Note::Relinquished(vec![CALL])), "it is asked");
-    hears(&mut sleeper.owner, ReplicationEvent::Relinquished(vec![CALL.0]));
-    assert!(is_failed(&sleeper.said()));
+fn sends_no_queued_answer_to_a_call_that_was_taken_over() {
+    let mut member = SuspendedMember::new();
+    member.answered();
+    // The answer is an effect that was pending when the process was suspended.
+    member.lease.set(1, 0);
+    member.owner.handle(Input::Copies(ReplicationEvent::OwnershipLost([CALL.0].into())));
+    assert!(member.received().is_empty(), "its successor may have ended the call");
+    assert!(member.notes_sent(|note| *note == Note::Relinquished(vec![CALL])), "the successor is asked");
+    replicate(&mut member.owner, ReplicationEvent::Relinquished(vec![CALL.0]));
+    assert!(is_failed(&member.received()));
 }
 
-/// Guards against a second final answer from the member that wakes, and against a release behind the first.
+/// Guards against a second final answer by the resumed member, and against a release after the first one.
 #[test]
-fn leaves_a_caller_that_was_told_nothing_to_whoever_ended_its_call() {
+fn leaves_an_unanswered_caller_to_the_member_that_ended_its_call() {
     for ended_by_successor in [false, true] {
-        let mut sleeper = Sleeper::new();
-        sleeper.answered();
-        assert!(sleeper.said().is_empty(), "nobody else knows that it stands");
-        sleeper.wakes();
-        assert!(sleeper.said().is_empty());
-        sleeper.is_succeeded();
-        assert!(sleeper.said().is_empty(), "its successor may have ended it");
+        let mut member = SuspendedMember::new();
+        member.answered();
+        assert!(member.received().is_empty(), "its state is not replicated yet");
+        member.resumes();
+        assert!(member.received().is_empty());
+        member.is_taken_over();
+        assert!(member.received().is_empty(), "its successor may have ended the call");
         if ended_by_successor {
-            hears(&mut sleeper.owner, ReplicationEvent::ReleaseDelivered(vec![CALL.0]));
+            replicate(&mut member.owner, ReplicationEvent::ReleaseDelivered(vec![CALL.0]));
         }
-        hears(&mut sleeper.owner, ReplicationEvent::Relinquished(vec![CALL.0]));
-        let said = sleeper.said();
-        assert!(if ended_by_successor { said.is_empty() } else { is_failed(&said) }, "{said:?}");
-        sleeper.owner.take(ended(sleeper.link));
-        assert!(sleeper.said().is_empty(), "its caller has heard its last word");
-        let releases = |word: &ToServer| matches!(word, ToServer::Release(CALL, _));
-        assert_eq!(std::iter::from_fn(|| sleeper.to_server.next_now()).filter(releases).count(), 1);
+        replicate(&mut member.owner, ReplicationEvent::Relinquished(vec![CALL.0]));
+        let received = member.received();
+        assert!(if ended_by_successor { received.is_empty() } else { is_failed(&received) }, "{received:?}");
+        member.owner.handle(ended(member.link));
+        assert!(member.received().is_empty(), "its caller has received its final message");
+        let releases = |message: &ToServer| matches!(message, ToServer::Release(CALL, _));
+        assert_eq!(std::iter::from_fn(|| member.to_server.next_now()).filter(releases).count(), 1);
     }
 }
 
-/// Guards against two ends of one call, for its answer that was never given and for its server that is gone.
+/// Guards against two ends of one call, for its unsent answer and for the loss of its server.
 #[test]
-fn tells_a_caller_once_that_fails_while_the_lease_is_lost() {
-    for asleep_when_answered in [false, true] {
-        let mut sleeper = Sleeper::new();
-        if !asleep_when_answered {
-            sleeper.answered();
-            assert!(sleeper.said().is_empty());
+fn reports_a_failure_once_while_the_lease_is_lost() {
+    for suspended_when_answered in [false, true] {
+        let mut member = SuspendedMember::new();
+        if !suspended_when_answered {
+            member.answered();
+            assert!(member.received().is_empty());
         }
-        sleeper.wakes();
-        if asleep_when_answered {
-            sleeper.answered();
+        member.resumes();
+        if suspended_when_answered {
+            member.answered();
         }
-        sleeper.owner.take(ended(sleeper.link));
-        let said = sleeper.said();
-        // Others may know the answer that came before, and of the other one only that an attempt was out.
-        assert!(if asleep_when_answered { is_failed(&said) } else { said.is_empty() }, "{said:?}");
-        sleeper.lease.set(60_000, 0);
-        let said = sleeper.said();
-        assert!(if asleep_when_answered { said.is_empty() } else { is_failed(&said) }, "{said:?}");
-        sleeper.owner.take(ended(sleeper.link));
-        assert!(sleeper.said().is_empty());
+        member.owner.handle(ended(member.link));
+        let received = member.received();
+        // Other members may know the first answer; in the other case they know only of a pending attempt.
+        assert!(
+            if suspended_when_answered { is_failed(&received) } else { received.is_empty() },
+            "{received:?}"
+        );
+        member.lease.set(60_000, 0);
+        let received = member.received();
+        assert!(
+            if suspended_when_answered { received.is_empty() } else { is_failed(&received) },
+            "{received:?}"
+        );
+        member.owner.handle(ended(member.link));
+        assert!(member.received().is_empty());
     }
 }
 
-/// Guards against two ends of one call, where it ended while its answer was held: by then no record of it is
-/// left that the successor's could be named by.
+/// Guards against two ends of one call, where it ended while its answer was held: by then no record is left
+/// by which the successor's takeover could name it.
 #[test]
-fn asks_its_successor_of_a_call_that_ended_before_it_knew_of_one() {
+fn asks_the_successor_about_a_call_that_ended_before_the_takeover_was_known() {
     for ended_by_successor in [false, true] {
-        let mut sleeper = Sleeper::new();
-        sleeper.answered();
-        assert!(sleeper.said().is_empty(), "nobody else knows that it stands");
-        sleeper.wakes();
-        sleeper.owner.take(ended(sleeper.link));
-        assert!(sleeper.said().is_empty());
-        hears(&mut sleeper.owner, ReplicationEvent::OwnershipLost(Default::default()));
-        sleeper.lease.set(60_000, 1);
-        assert!(sleeper.said().is_empty(), "its successor may have ended it");
-        assert!(sleeper.noted(|note| *note == Note::Relinquished(vec![CALL])), "it is asked");
+        let mut member = SuspendedMember::new();
+        member.answered();
+        assert!(member.received().is_empty(), "its state is not replicated yet");
+        member.resumes();
+        member.owner.handle(ended(member.link));
+        assert!(member.received().is_empty());
+        replicate(&mut member.owner, ReplicationEvent::OwnershipLost(Default::default()));
+        member.lease.set(60_000, 1);
+        assert!(member.received().is_empty(), "its successor may have ended the call");
+        assert!(member.notes_sent(|note| *note == Note::Relinquished(vec![CALL])), "the successor is asked");
         if ended_by_successor {
-            hears(&mut sleeper.owner, ReplicationEvent::ReleaseDelivered(vec![CALL.0]));
+            replicate(&mut member.owner, ReplicationEvent::ReleaseDelivered(vec![CALL.0]));
         }
-        hears(&mut sleeper.owner, ReplicationEvent::Relinquished(vec![CALL.0]));
-        let said = sleeper.said();
-        assert!(if ended_by_successor { said.is_empty() } else { is_failed(&said) }, "{said:?}");
+        replicate(&mut member.owner, ReplicationEvent::Relinquished(vec![CALL.0]));
+        let received = member.received();
+        assert!(if ended_by_successor { received.is_empty() } else { is_failed(&received) }, "{received:?}");
     }
 }
 
-/// Others have answered what they were asked about the release of the call; how often it is given then.
-fn given_once_asked(sleeper: &mut Sleeper, successor_has_given_it: bool) -> usize {
-    if successor_has_given_it {
-        hears(&mut sleeper.owner, ReplicationEvent::ReleaseDelivered(vec![CALL.0]));
+/// The other members have answered about the release of the call; returns how often it is delivered then.
+fn deliveries_once_answered(member: &mut SuspendedMember, successor_has_delivered: bool) -> usize {
+    if successor_has_delivered {
+        replicate(&mut member.owner, ReplicationEvent::ReleaseDelivered(vec![CALL.0]));
     }
-    hears(&mut sleeper.owner, ReplicationEvent::AllNotified(vec![CALL.0]));
-    let said = sleeper.said();
-    assert!(said.iter().all(|word| matches!(word, ToClient::Released { call: CALL, .. })), "{said:?}");
-    said.len()
+    replicate(&mut member.owner, ReplicationEvent::AllNotified(vec![CALL.0]));
+    let received = member.received();
+    assert!(
+        received.iter().all(|message| matches!(message, ToClient::Released { call: CALL, .. })),
+        "{received:?}"
+    );
+    received.len()
 }
 
-/// Guards against a release that the member that wakes gives, and its successor has given or is handed.
+/// Guards against a release that the resumed member delivers and its successor has delivered or is handed.
 #[test]
-fn asks_all_members_of_a_release_before_it_notes_or_gives_it() {
-    for (successor_has_given_it, succeeded_first) in [(false, false), (false, true), (true, true)] {
-        let mut sleeper = Sleeper::new();
-        sleeper.answered();
-        sleeper.owner.carry_out();
-        hears(&mut sleeper.owner, ReplicationEvent::Committed(1));
-        assert!(matches!(sleeper.said()[..], [ToClient::Answer { call: CALL, .. }]));
-        sleeper.wakes();
-        while sleeper.notes.try_recv().is_ok() {}
-        sleeper.owner.take(ended(sleeper.link));
-        assert!(sleeper.said().is_empty(), "its successor may have given it");
-        assert_eq!(sleeper.notes.try_recv(), Ok(Note::PassedOn(CALL)));
-        let given = usize::from(!successor_has_given_it);
-        if succeeded_first {
-            sleeper.is_succeeded();
-            assert_eq!(sleeper.owner.core.call_states().count(), 1, "it stays this member's");
+fn asks_all_members_before_it_records_or_delivers_a_release() {
+    for (successor_has_delivered, taken_over_first) in [(false, false), (false, true), (true, true)] {
+        let mut member = SuspendedMember::new();
+        member.answered();
+        member.owner.handle_all_effects();
+        replicate(&mut member.owner, ReplicationEvent::Committed(1));
+        assert!(matches!(member.received()[..], [ToClient::Answer { call: CALL, .. }]));
+        member.resumes();
+        while member.notes.try_recv().is_ok() {}
+        member.owner.handle(ended(member.link));
+        assert!(member.received().is_empty(), "its successor may have delivered it");
+        assert_eq!(member.notes.try_recv(), Ok(Note::PassedOn(CALL)));
+        let given = usize::from(!successor_has_delivered);
+        if taken_over_first {
+            member.is_taken_over();
+            assert_eq!(member.owner.core.call_states().count(), 1, "it remains a call of this member");
         }
-        assert_eq!(given_once_asked(&mut sleeper, successor_has_given_it), given);
-        if !succeeded_first {
-            sleeper.is_succeeded();
+        assert_eq!(deliveries_once_answered(&mut member, successor_has_delivered), given);
+        if !taken_over_first {
+            member.is_taken_over();
         }
-        // It is looked after until a caller confirms it.
-        assert_eq!(sleeper.owner.core.call_states().count(), given);
+        // The release stays pending until a caller acknowledges it.
+        assert_eq!(member.owner.core.call_states().count(), given);
     }
 }
 
-/// Guards against the same release from both, where it was decided on before the member fell asleep.
+/// Guards against the same release from both members, where it was decided before the suspension.
 #[test]
-fn asks_all_members_of_a_release_that_was_queued_when_it_fell_asleep() {
-    for successor_has_given_it in [false, true] {
-        let mut sleeper = Sleeper::new();
-        sleeper.answered();
-        sleeper.owner.carry_out();
-        hears(&mut sleeper.owner, ReplicationEvent::Committed(1));
-        sleeper.said();
-        sleeper.owner.take(ended(sleeper.link));
-        sleeper.wakes();
-        assert!(sleeper.said().is_empty(), "its successor may have given it");
-        assert!(sleeper.noted(|note| *note == Note::PassedOn(CALL)));
-        let given = usize::from(!successor_has_given_it);
-        assert_eq!(given_once_asked(&mut sleeper, successor_has_given_it), given);
+fn asks_all_members_about_a_release_that_was_queued_before_suspension() {
+    for successor_has_delivered in [false, true] {
+        let mut member = SuspendedMember::new();
+        member.answered();
+        member.owner.handle_all_effects();
+        replicate(&mut member.owner, ReplicationEvent::Committed(1));
+        member.received();
+        member.owner.handle(ended(member.link));
+        member.resumes();
+        assert!(member.received().is_empty(), "its successor may have delivered it");
+        assert!(member.notes_sent(|note| *note == Note::PassedOn(CALL)));
+        let given = usize::from(!successor_has_delivered);
+        assert_eq!(deliveries_once_answered(&mut member, successor_has_delivered), given);
     }
 }
--- a/agent/src/net/owner/tests/stopping.rs
+++ b/agent/src/net/owner/tests/stopping.rs
@@ -1,20 +1,21 @@
-//! The end of a process that is late, or to which more keeps coming.
+//! The exit of a process that is late, or whose input keeps arriving.
 
 use super::settle::{flood, settle_beside};
 use super::*;
 use tokio::time::timeout;
 
-/// Since a process whose longest deadline counts as 3 s was told to stop, when all is answered.
+/// Time after SIGTERM at which all calls are answered, for a longest deadline of 3 s.
 const ANSWERS_ALL: Micros = 3_450_000;
 
 fn stop(owner: &mut Owner, since: Micros) {
     let at = owner.shared.clock.now() - since;
-    owner.take(Input::Stop { replaced: false, at });
+    owner.handle(Input::Stop { replaced: false, at });
 }
 
-/// Guards against a process that listens once more before it ends, hears something each time, and is killed.
+/// Guards against a process that reads once more before it exits, receives something each time, and is
+/// killed.
 #[test]
-fn ends_though_more_keeps_coming() {
+fn exits_while_input_keeps_arriving() {
     let (mut owner, _inbox, _, _to_server) = with_call();
     stop(&mut owner, ANSWERS_ALL);
     let (inputs, queue) = mpsc::channel(8);
@@ -27,13 +28,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         tokio::task::spawn_local(peer);
-        timeout(Duration::from_secs(20), owner.run(queue)).await.expect("it ends");
+        timeout(Duration::from_secs(20), owner.run(queue)).await.expect("it exits");
     });
 }
 
-/// Guards against a process whose turns take seconds: all that was open was answered after the kill.
+/// Guards against a process whose iterations take seconds: all open calls were answered after the kill.
 #[test]
-fn answers_all_in_the_last_turn_that_is_in_time() {
+fn answers_all_in_the_last_iteration_before_the_deadline() {
     const SECOND: Micros = 1_000_000;
     let table = [
         (ANSWERS_ALL - 2 * SECOND, SECOND, 0),
@@ -43,28 +44,33 @@
     for (since, turn, answers) in table {
         let (mut owner, mut inbox, _, _to_server) = with_call();
         let at = owner.shared.clock.now();
-        owner.take(Input::Stop { replaced: false, at });
-        (owner.polled, owner.turn) = (at + since, turn);
-        owner.answer_all_in_time();
-        owner.carry_out();
-        let failed =
-            |said: &ToClient| matches!(said, ToClient::Final { call: CALL, verdict: Verdict::Failed });
-        let said = std::iter::from_fn(|| inbox.next_now()).filter(failed).count();
-        assert_eq!(said, answers, "{since} since SIGTERM, turns of {turn}");
-        assert_eq!(owner.is_done(owner.polled), answers == 1, "{since} since SIGTERM, turns of {turn}");
+        owner.handle(Input::Stop { replaced: false, at });
+        (owner.last_read, owner.last_iteration) = (at + since, turn);
+        owner.answer_all_before_deadline();
+        owner.handle_all_effects();
+        let failed = |received: &ToClient| {
+            matches!(received, ToClient::Final { call: CALL, verdict: Verdict::Failed })
+        };
+        let received = std::iter::from_fn(|| inbox.next_now()).filter(failed).count();
+        assert_eq!(received, answers, "{since} since SIGTERM, iterations of {turn}");
+        assert_eq!(
+            owner.can_exit(owner.last_read),
+            answers == 1,
+            "{since} since SIGTERM, iterations of {turn}"
+        );
     }
 }
 
-/// Guards against answers to what was heard last that wait behind the end of their connection.
+/// Guards against answers to the last input that are queued after the end of their connection.
 #[test]
-fn answers_what_it_heard_last_before_it_ends_the_connection() {
+fn answers_the_last_input_before_the_connection_ends() {
     let (mut owner, mut inbox, _, _to_server) = with_call();
     stop(&mut owner, ANSWERS_ALL);
     owner.core.run_timers(owner.shared.clock.now());
-    owner.carry_out();
+    owner.handle_all_effects();
     let now = owner.shared.clock.now();
-    owner.polled = now;
-    owner.take(Input::Offer { client: ClientId(1), request: request(CallId(8), now) });
+    owner.last_read = now;
+    owner.handle(Input::Offer { client: ClientId(1), request: request(CallId(8), now) });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, owner.flush(&mut mpsc::channel(1).1));
     let messages = std::iter::from_fn(|| inbox.next_now());
@@ -72,10 +78,10 @@
     assert!(matches!(before_end[..], [.., ToClient::Final { call: CallId(8), .. }]), "{before_end:?}");
 }
 
-/// Guards against a last turn that goes on for as long as there is something to hear.
+/// Guards against a last iteration that continues while there is input.
 #[test]
-fn hears_no_more_once_it_should_have_ended() {
-    // One that has all the time, and one that has none.
+fn reads_no_more_input_past_the_exit_deadline() {
+    // One process with plenty of time, and one without any.
     for (since, left) in [(-3_600_000_000, 0), (ANSWERS_ALL + 200_000, 99)] {
         let (mut owner, _inbox, _, _to_server) = with_call();
         let (inputs, mut queue) = mpsc::channel(100);
--- a/agent/src/ops/line.rs
+++ b/agent/src/ops/line.rs
@@ -104,7 +104,7 @@
         for (name, value) in copy_figures(copies) {
             put(&format!("copies.{name}"), value);
         }
-        put("copies.uncopied", figures.uncopied);
+        put("copies.uncopied", figures.unreplicated);
     }
     text.push_str(".\n");
     text
--- a/agent/src/ports/mod.rs
+++ b/agent/src/ports/mod.rs
@@ -397,7 +397,7 @@
     pub fleet: Option<FleetFigures>,
     pub copies: Option<ReplicationStats>,
     /// What went out though too few others knew of it.
-    pub uncopied: u64,
+    pub unreplicated: u64,
     /// Each server with the bound of its image, if it has one.
     pub servers: Vec<(Entry, ServerCounts, Option<f64>)>,
 }
--- a/agent/src/serve.rs
+++ b/agent/src/serve.rs
@@ -107,14 +107,14 @@
         }
     };
     let mut owner = Owner::new(core, shared.clone(), Rc::new(dial));
-    owner.listed(config.known.source, config.known.kind, config.known.servers);
+    owner.update_servers(config.known.source, config.known.kind, config.known.servers);
     let (board, followed) = watch::channel(config.board);
     spawn_local(board::follow(followed, config.known.last, shared.clone()));
     spawn_local(reread(hangup, file, board, shared.clone()));
     let fleet = fleet.map(|named| Fleet::start(named, shared.clone())).transpose()?;
     let fleet = fleet.map(|(fleet, copies)| {
-        copies.into_iter().for_each(|end| owner.copy(end));
-        owner.leave_time(FAREWELL_RESERVE);
+        copies.into_iter().for_each(|end| owner.enable_replication(end));
+        owner.reserve_exit_time(FAREWELL_RESERVE);
         fleet
     });
     if let Some(address) = config.ops {
@@ -126,7 +126,7 @@
     if let Some(m3ua) = m3ua {
         let listener = TcpListener::bind(m3ua.config.listen).await?;
         eprintln!("steprelay: serving M3UA on {}", listener.local_addr()?);
-        owner.take(m3ua.listed());
+        owner.handle(m3ua.listed());
         let serve = move |stream, number| m3ua::serve(stream, number, m3ua.clone());
         spawn_local(accept(listener, MOST_M3UA, watch::channel(Accepts::All).1, serve));
     }
--- a/rig/tests/delivery/net/owner.rs
+++ b/rig/tests/delivery/net/owner.rs
@@ -7,7 +7,7 @@
 use steprelay_core::{ClientId, Core, Effect, LinkLoss, NotSent, ReleaseCause, Request};
 use steprelay_decisions::{CallId, Cause, Micros, Report, ServerId};
 
-use super::copies::{Copies, CopiesEnd};
+use super::copies::{ReplicationGate, ReplicationHandle};
 use crate::ports::{Clock, LinkId, ToServer};
 use crate::trace;
 
@@ -87,7 +87,7 @@
 
 pub struct Owner {
     pub core: Core,
-    copies: Option<Copies>,
+    replication: Option<ReplicationGate>,
     shared: Shared,
     links: Links,
     clients: BTreeSet<ClientId>,
@@ -104,12 +104,12 @@
 }
 
 impl Owner {
-    pub fn new(mut core: Core, clock: Clock, end: CopiesEnd) -> Self {
+    pub fn new(mut core: Core, clock: Clock, end: ReplicationHandle) -> Self {
         core.enable_replication();
         let polled = clock.now();
         Owner {
             core,
-            copies: Some(Copies::new(end)),
+            replication: Some(ReplicationGate::new(end)),
             shared: Shared { clock },
             links: Links::default(),
             clients: BTreeSet::new(),
@@ -127,7 +127,7 @@
     }
 
     pub fn waits(&self) -> bool {
-        self.copies.as_ref().is_some_and(Copies::waits)
+        self.replication.as_ref().is_some_and(ReplicationGate::has_pending)
     }
 
     pub fn is_stopping(&self) -> bool {
@@ -137,7 +137,7 @@
     /// Takes in what came. What follows from it is carried out later in the turn.
     pub fn take(&mut self, input: Input) {
         let now = self.shared.clock.now();
-        self.look_at_doubt(now);
+        self.check_ownership(now);
         trace_input(&input);
         match input {
             Input::ClientOpened(client) => {
@@ -170,15 +170,15 @@
                 self.core.server_answered(now, link.server, call, "v=1".into());
             }
             Input::Ended(link, call, cause) if self.links.is_current(link) => {
-                if let Some(copies) = &mut self.copies {
-                    copies.release_came(link, call);
+                if let Some(replication) = &mut self.replication {
+                    replication.release_received(link, call);
                 }
                 self.core.server_ended(now, link.server, call, cause, Cause::Untold, Report::default());
             }
             Input::Ended(link, call, cause) => self.core.server_ended_late(now, link.server, call, cause),
             Input::Reported(link, report) => self.core.report(now, link.server, report),
             Input::Answered(..) => {}
-            Input::Copies(news) => self.heard_of_copies(now, news),
+            Input::Copies(event) => self.handle_replication_event(now, event),
             Input::Stop => self.core.stop(now, false),
         }
     }
@@ -187,7 +187,7 @@
     pub fn wake(&mut self) {
         self.polled = self.shared.clock.now();
         self.core.run_timers(self.polled);
-        self.look_at_copies();
+        self.process_replication();
     }
 
     /// The first byte of a release has left.
@@ -207,10 +207,10 @@
         }
         let effect = self.effects.pop_front();
         let any = effect.is_some();
-        effect.into_iter().for_each(|effect| self.do_one(effect));
+        effect.into_iter().for_each(|effect| self.handle_effect(effect));
         if !any {
-            self.copies.iter_mut().for_each(Copies::number_releases);
-            self.copies.iter_mut().for_each(Copies::answer_questions);
+            self.replication.iter_mut().for_each(ReplicationGate::number_releases);
+            self.replication.iter_mut().for_each(ReplicationGate::confirm_barriers);
         }
         let posted = std::mem::take(&mut self.links.said);
         self.said.extend(posted);
@@ -218,10 +218,10 @@
     }
 
     /// Whether it was told to stop and nothing is open any more, or no more time is left for that: the rule
-    /// of `Owner::is_done`.
+    /// of `Owner::can_exit`.
     pub fn is_done(&self, now: Micros) -> bool {
         let is_over = self.core.lifecycle().final_answer_deadline().is_some_and(|at| now >= at);
-        let holds_answers = self.copies.as_ref().is_some_and(Copies::holds_answers);
+        let holds_answers = self.replication.as_ref().is_some_and(ReplicationGate::holds_answers);
         let is_idle = self.core.connections() == 0 && self.core.lifecycle().may_exit(now) && !holds_answers;
         self.core.unanswered_calls() == 0 && (is_over || is_idle)
     }
@@ -231,16 +231,19 @@
     pub fn flushes(&mut self, now: Micros, callers: &[ClientId], open: bool) -> bool {
         let ends_by = self.core.lifecycle().exit_deadline().unwrap_or_default() - FAREWELL;
         if self.closed_by.is_none() {
-            let (held, failed) = self.copies.as_mut().map(Copies::take_answers).unwrap_or_default();
-            held.into_iter().for_each(|answer| self.say(now, answer));
-            self.give_up(now, failed);
+            let (held, failed) =
+                self.replication.as_mut().map(ReplicationGate::take_answers).unwrap_or_default();
+            held.into_iter().for_each(|answer| self.execute(now, answer));
+            self.fail_answers(now, failed);
             self.settled_by = (now + SETTLED_SHORT_WITHIN).min(ends_by);
             self.said.extend(callers.iter().map(|client| Said::Finish(*client)));
         }
         let closed_by = *self.closed_by.get_or_insert((now + CLOSING).min(ends_by));
         let late = self.core.unanswered_calls() > 0;
-        let (settled, short) =
-            self.copies.as_ref().map_or((true, false), |copies| (copies.is_settled(), copies.is_short()));
+        let (settled, short) = self
+            .replication
+            .as_ref()
+            .map_or((true, false), |replication| (replication.is_settled(), replication.is_degraded()));
         let settles = now < if short { self.settled_by } else { ends_by } && !settled;
         late && now < ends_by || open && now < closed_by || settles
     }
@@ -249,26 +252,27 @@
         self.closed_by.is_some()
     }
 
-    fn do_one(&mut self, effect: Effect) {
+    fn handle_effect(&mut self, effect: Effect) {
         let now = self.shared.clock.now();
-        self.look_at_doubt(now);
+        self.check_ownership(now);
         if let Effect::DeliverRelease { client, call, .. } = &effect {
             if !self.may_release(now, *client, *call) {
                 return;
             }
         }
-        if let Some(effect) = self.copies.as_mut().and_then(|copies| copies.hold(now, effect)) {
-            self.say(now, effect);
+        if let Some(effect) = self.replication.as_mut().and_then(|replication| replication.hold(now, effect))
+        {
+            self.execute(now, effect);
         }
     }
 
     fn holds_answer_to(&self, client: ClientId) -> bool {
-        self.copies.as_ref().is_some_and(|copies| copies.holds_answer_to(client))
+        self.replication.as_ref().is_some_and(|replication| replication.holds_answer_to(client))
     }
 
-    fn say(&mut self, now: Micros, effect: Effect) {
-        if let Some(copies) = &self.copies {
-            copies.trace_lease(&effect);
+    fn execute(&mut self, now: Micros, effect: Effect) {
+        if let Some(replication) = &self.replication {
+            replication.trace_lease(&effect);
         }
         trace_effect(&effect);
         match effect {
@@ -282,7 +286,7 @@
                 let _ = self.links.post(server, ToServer::GiveUp(call), now);
             }
             Effect::WithdrawSetUp { server, call } => {
-                if self.copies.as_mut().is_some_and(|copies| copies.withdraw(call)) {
+                if self.replication.as_mut().is_some_and(|replication| replication.withdraw(call)) {
                     self.core.not_sent(now, server, call, NotSent::Withdrawn);
                 }
             }
@@ -290,13 +294,17 @@
                 let _ = self.links.post(server, ToServer::Release(call, cause), now);
             }
             Effect::CallStateChanged { call, state, notify_by } => {
-                self.copies.iter_mut().for_each(|copies| copies.note(call, state, notify_by));
+                self.replication
+                    .iter_mut()
+                    .for_each(|replication| replication.record_state(call, state, notify_by));
             }
             Effect::ReleaseAcknowledged { call } => {
-                self.copies.iter_mut().for_each(|copies| copies.acknowledged(call));
+                self.replication.iter_mut().for_each(|replication| replication.record_acknowledgement(call));
+            }
+            Effect::AnnounceRelease { call } => self.announce_release(now, call),
+            Effect::ReleaseDelivered { call } => {
+                self.replication.iter_mut().for_each(|replication| replication.record_delivery(call))
             }
-            Effect::AnnounceRelease { call } => self.pass_on(now, call),
-            Effect::ReleaseDelivered { call } => self.copies.iter_mut().for_each(|copies| copies.given(call)),
             Effect::DeliverRelease { client, call, .. } => {
                 if self.clients.contains(&client) {
                     self.unsent.insert((client, call));
--- a/rig/tests/delivery/process.rs
+++ b/rig/tests/delivery/process.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 
 use crate::council::{Council, Start, RENEW};
-use crate::net::copies::CopiesEnd;
+use crate::net::copies::ReplicationHandle;
 use crate::net::owner::{Input, Owner};
 use crate::ports::copies::{record, Lease, Note};
 use crate::ports::Clock;
@@ -85,7 +85,12 @@
         let entries: Vec<Entry> = (0..servers).map(listed).collect();
         core.update_servers(now, steprelay_core::ListSource::Discovery, ListKind::All, &entries);
         core.update_lifecycle(now, |lifecycle| lifecycle.set_ready());
-        let end = CopiesEnd { notes: sender, lease: lease.clone(), after_copies: true, refuse_short: false };
+        let end = ReplicationHandle {
+            notes: sender,
+            lease: lease.clone(),
+            wait_for_replicas: true,
+            refuse_when_degraded: false,
+        };
         let ran_until = (now / 1_000) as Millis;
         Process {
             member: Member::new(&start.name, &format!("z-{}", start.name), start.boot, REPLICATION_POLICY),
