--- a/agent/src/fleet/copies.rs
+++ b/agent/src/fleet/copies.rs
@@ -119,7 +119,7 @@
         let writes = writes.map(|(stream, epoch)| StreamEpoch { stream: stream.0, epoch });
         let copies = self.member.holder().copies().filter(|(_, copy)| !copy.records().is_empty());
         let holds = copies.map(|(stream, copy)| HeldReplica {
-            stream: StreamEpoch { stream: stream.0, epoch: copy.epoch() },
+            stream_epoch: StreamEpoch { stream: stream.0, epoch: copy.epoch() },
             primary: copy.writer().into(),
             primary_boot: copy.boot(),
             sequence: copy.number(),
--- a/agent/src/fleet/owner.rs
+++ b/agent/src/fleet/owner.rs
@@ -216,7 +216,7 @@
             let change = match effect {
                 Effect::WriteLog(write) => Change::Log(write),
                 Effect::Persist(page) => Change::Page(page),
-                Effect::ReplaceLog { page, log } => Change::Renew(page, log),
+                Effect::ReplaceLog { state, log } => Change::Renew(state, log),
                 other => {
                     if !changes.is_empty() {
                         self.store.write(std::mem::take(&mut changes))?;
--- a/fleet/src/messages.rs
+++ b/fleet/src/messages.rs
@@ -106,7 +106,7 @@
 /// A replica of another member's stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldReplica {
-    pub stream: StreamEpoch,
+    pub stream_epoch: StreamEpoch,
     /// The last primary, and the boot identifier of its process start.
     pub primary: String,
     pub primary_boot: u64,
--- a/fleet/src/node/commands.rs
+++ b/fleet/src/node/commands.rs
@@ -36,7 +36,7 @@
             (!others.is_empty()).then(|| others[self.next_peer % others.len()])
         });
         if let Some(to) = to {
-            let (known_index, status) = (self.persistent.index, self.own.clone());
+            let (known_index, status) = (self.persistent.index, self.own_status.clone());
             self.send(to, Payload::StatusReport { known_index, status });
         }
     }
@@ -54,9 +54,9 @@
         if self.consensus.as_ref().is_some_and(Consensus::is_voter) {
             // A voter learns the state from the log, but one that was replaced while it was unreachable
             // gets no more entries.
-            let gone = cluster_state
+            let replaced = cluster_state
                 .is_some_and(|cluster_state| !cluster_state.voters.contains_key(&self.persistent.node));
-            if gone && index > self.persistent.index {
+            if replaced && index > self.persistent.index {
                 self.reset_identity(
                     now,
                     0,
@@ -89,18 +89,18 @@
         let due: Vec<CommandId> = self
             .pending_requests
             .iter()
-            .filter(|(_, pending)| pending.sent.is_none_or(|sent| now >= sent + REQUEST_RETRY))
+            .filter(|(_, pending)| pending.last_sent.is_none_or(|sent| now >= sent + REQUEST_RETRY))
             .map(|(id, _)| *id)
             .collect();
         for id in due {
             let Some(pending) = self.pending_requests.get_mut(&id) else { continue };
-            if now >= pending.since + REQUEST_TIMEOUT {
+            if now >= pending.submitted_at + REQUEST_TIMEOUT {
                 self.pending_requests.remove(&id);
                 let response = LeaderResponse::Outcome(Err(Rejection::NoQuorum));
                 self.effects.push(Effect::Response { id, response });
                 continue;
             }
-            pending.sent = Some(now);
+            pending.last_sent = Some(now);
             let request = pending.request.clone();
             if self.is_leader() {
                 self.handle_request(id, request, Requester::Local);
@@ -156,8 +156,8 @@
             }
             Command::Add { machine, kind: TargetKind::Server(number), .. } => {
                 let lists = |status: &Status| status.classes.iter().any(|class| class.contains(number));
-                let response = self.peers.values().filter_map(|peer| peer.status.as_ref());
-                if lists(&self.own) || response.into_iter().any(|(status, _)| lists(status)) {
+                let statuses = self.peers.values().filter_map(|peer| peer.status.as_ref());
+                if lists(&self.own_status) || statuses.into_iter().any(|(status, _)| lists(status)) {
                     return Ok(());
                 }
                 Err(Rejection::UnknownMachine(machine.clone()))
@@ -176,7 +176,7 @@
     pub(super) fn propose(&mut self, id: CommandId, command: Command) {
         let now = self.last_tick;
         let at_ms = self.lead.as_ref().map_or(self.persistent.cluster_state.time_ms, |lead| {
-            lead.time_ms + now.saturating_sub(lead.since)
+            lead.time_ms + now.saturating_sub(lead.leading_since)
         });
         let entry = LogEntry { id, at_ms, command };
         if let Some(consensus) = &mut self.consensus {
--- a/fleet/src/node/group.rs
+++ b/fleet/src/node/group.rs
@@ -55,11 +55,11 @@
         let voter = Voter { name: me.name, zone: me.zone, address: me.address };
         self.persistent.cluster_state.voters = BTreeMap::from([(me.node, voter)]);
         let write = Consensus::initial_snapshot(me.node, self.encoded_state());
-        let mut kept = crate::consensus::LogImage::default();
-        kept.write(write.clone());
+        let mut image = crate::consensus::LogImage::default();
+        image.write(write.clone());
         self.persistent.index = 1;
         self.replace_log(Some(write));
-        self.consensus = Consensus::new(me.node, &kept.persisted()).ok();
+        self.consensus = Consensus::new(me.node, &image.persisted()).ok();
         (self.leader, self.leader_seen_at) = (None, now);
     }
 
@@ -103,36 +103,38 @@
     /// Runs the Raft engine, applies committed entries and emits the resulting effects.
     pub(super) fn process_consensus(&mut self, now: Millis) {
         let Some(mut consensus) = self.consensus.take() else { return };
-        let voted = consensus.is_voter();
+        let was_voter = consensus.is_voter();
         let mut responses = Vec::new();
-        let page = &mut self.persistent;
-        let steps = consensus.process_ready(|step| {
-            match step {
+        let persistent = &mut self.persistent;
+        let outputs = consensus.process_ready(|output| {
+            match output {
                 Output::Apply { index, data } => {
                     let known = |entry: &LogEntry| entry.command.introduced_in() <= self.config.minor;
                     if let Some(entry) = postcard::from_bytes::<LogEntry>(data).ok().filter(known) {
-                        let before = page.cluster_state.version;
-                        let outcome = page.cluster_state.apply(&entry);
-                        responses.push((entry, outcome, page.cluster_state.version > before));
+                        let before = persistent.cluster_state.version;
+                        let outcome = persistent.cluster_state.apply(&entry);
+                        responses.push((entry, outcome, persistent.cluster_state.version > before));
                     }
-                    page.index = *index;
+                    persistent.index = *index;
                 }
                 Output::VotersChanged { ids, context } => {
-                    page.cluster_state.set_voters(ids, postcard::from_bytes(context).unwrap_or_default());
+                    persistent
+                        .cluster_state
+                        .set_voters(ids, postcard::from_bytes(context).unwrap_or_default());
                 }
                 Output::Restore { data, .. } => {
                     if let Ok(cluster_state) = postcard::from_bytes(data) {
-                        page.cluster_state = cluster_state;
+                        persistent.cluster_state = cluster_state;
                     }
                 }
                 Output::Write(_) | Output::Send { .. } => {}
             }
-            postcard::to_stdvec(&page.cluster_state).unwrap_or_default()
+            postcard::to_stdvec(&persistent.cluster_state).unwrap_or_default()
         });
         self.persistent.index = self.persistent.index.max(consensus.applied());
-        let replaced = voted && !consensus.is_voter();
-        for step in steps {
-            match step {
+        let replaced = was_voter && !consensus.is_voter();
+        for output in outputs {
+            match output {
                 Output::Write(write) => self.effects.push(Effect::WriteLog(write)),
                 Output::Send { to, bytes } => {
                     if let Some(to) = self.address_of(to) {
@@ -146,11 +148,11 @@
             self.leader_seen_at = now;
         }
         self.consensus = Some(consensus);
-        for (entry, outcome, moved) in responses {
+        for (entry, outcome, state_changed) in responses {
             if matches!(outcome, Err(Rejection::Fenced { .. } | Rejection::StaleVersion { .. })) {
                 self.fenced += 1;
             }
-            if moved {
+            if state_changed {
                 self.log_maintenance(&entry);
             }
             if let Some(requester) = self.pending_proposals.remove(&entry.id) {
--- a/fleet/src/node/leader.rs
+++ b/fleet/src/node/leader.rs
@@ -23,10 +23,10 @@
 
 /// State that only the leader keeps.
 pub(super) struct LeaderState {
-    pub(super) since: Millis,
+    pub(super) leading_since: Millis,
     /// Cluster time when it became the leader.
     pub(super) time_ms: Millis,
-    pub(super) last_peer_scan: Millis,
+    pub(super) last_check: Millis,
     /// When it last proposed something, and the log index applied at that time.
     pub(super) last_proposal: (Millis, u64),
     pub(super) disturbance: Option<(String, Millis)>,
@@ -40,7 +40,7 @@
     pub(super) last_snapshot_retry: Millis,
     pub(super) pushed_version: u64,
     /// Why nothing was approved, as last logged.
-    pub(super) told: String,
+    pub(super) logged_wait_reason: String,
     pub(super) leases: LeaseTable,
 }
 
@@ -60,7 +60,7 @@
             name: self.me().name.clone(),
             zone: self.me().zone.clone(),
             health: Health::Alive,
-            status: Some((self.own.clone(), 0)),
+            status: Some((self.own_status.clone(), 0)),
         });
         let disturbance = self.lead.as_ref().and_then(|lead| lead.disturbance.clone());
         ClusterView {
@@ -77,9 +77,9 @@
         }
         let time_ms = self.persistent.cluster_state.time_ms;
         let lead = self.lead.get_or_insert_with(|| LeaderState {
-            since: now,
+            leading_since: now,
             time_ms,
-            last_peer_scan: 0,
+            last_check: 0,
             last_proposal: (0, 0),
             disturbance: Some(("a new leader was elected".into(), now)),
             mean_load: None,
@@ -89,7 +89,7 @@
             last_clock_entry: now,
             last_snapshot_retry: now,
             pushed_version: 0,
-            told: String::new(),
+            logged_wait_reason: String::new(),
             leases: LeaseTable::default(),
         });
         if lead.pushed_version != self.persistent.cluster_state.version {
@@ -97,10 +97,10 @@
             self.push_state();
         }
         let Some(lead) = &mut self.lead else { return };
-        if now < lead.last_peer_scan + LEADER_INTERVAL {
+        if now < lead.last_check + LEADER_INTERVAL {
             return;
         }
-        lead.last_peer_scan = now;
+        lead.last_check = now;
         if now >= lead.last_snapshot_retry + SNAPSHOT_RETRY {
             lead.last_snapshot_retry = now;
             if let Some(consensus) = &mut self.consensus {
@@ -141,16 +141,16 @@
         let cluster_state = &self.persistent.cluster_state;
         let Some(lead) = &mut self.lead else { return };
         let mut disturbance = None;
-        let under_work =
+        let is_out =
             |name: &str| cluster_state.open_request(name).is_some_and(|item| item.state.counts_as_out());
         for seen in &cluster_view.members {
             let serving = seen.is_serving(cluster_view.max_status_age_ms);
-            let was = if serving {
+            let was_serving = if serving {
                 !lead.serving.insert(seen.name.clone())
             } else {
                 lead.serving.remove(&seen.name)
             };
-            if was && !serving && !under_work(&seen.name) {
+            if was_serving && !serving && !is_out(&seen.name) {
                 disturbance = Some(format!("{} was lost", seen.name));
             }
         }
@@ -167,8 +167,9 @@
         let statuses =
             || cluster_view.members.iter().filter_map(|seen| seen.status.as_ref()).map(|(status, _)| status);
         let avoided: u64 = statuses().map(|status| u64::from(status.avoided)).sum();
-        let held = cluster_state.open_requests.iter().any(|item| matches!(item.kind, TargetKind::Server(_)));
-        if avoided > lead.avoided && !held {
+        let servers_held =
+            cluster_state.open_requests.iter().any(|item| matches!(item.kind, TargetKind::Server(_)));
+        if avoided > lead.avoided && !servers_held {
             disturbance = Some(format!("members avoid {avoided} check servers"));
         }
         lead.avoided = avoided;
@@ -207,7 +208,7 @@
             }
             self.peers.get(&voter.name).is_some_and(|peer| {
                 let dead = !matches!(peer.health, Health::Alive | Health::Suspect);
-                peer.member.node == *id && !(dead && now >= peer.since + VOTER_REPLACE_AFTER)
+                peer.member.node == *id && !(dead && now >= peer.health_since + VOTER_REPLACE_AFTER)
             })
         };
         let zones = |left: &[&Voter], zone: &str| left.iter().filter(|voter| voter.zone == zone).count();
@@ -257,7 +258,7 @@
         if add == 0 {
             return;
         }
-        let is_lead = remove == Some(self.persistent.node);
+        let removes_leader = remove == Some(self.persistent.node);
         let added: Vec<(u64, Voter)> = candidates[..add]
             .iter()
             .map(|peer| &peer.member)
@@ -272,7 +273,7 @@
         });
         let successor = successor.map(|(id, _)| *id);
         let Some(consensus) = &mut self.consensus else { return };
-        if is_lead {
+        if removes_leader {
             // A leader does not remove itself: it hands over, and its successor removes it.
             if let Some(successor) = successor {
                 consensus.transfer_leadership(successor);
@@ -293,7 +294,7 @@
     /// Proposes everything about maintenance: roster updates, events that are due, and the next approval.
     pub(super) fn schedule_maintenance(&mut self, now: Millis) {
         let cluster_view = self.cluster_view(now);
-        let time = self.lead.as_ref().map_or(0, |lead| lead.time_ms + now.saturating_sub(lead.since));
+        let time = self.lead.as_ref().map_or(0, |lead| lead.time_ms + now.saturating_sub(lead.leading_since));
         // Members that are missing in the roster or differ from their entry.
         let alive = self.members().into_iter().filter(|(_, health)| *health == Health::Alive);
         let roster = &self.persistent.cluster_state.roster;
@@ -305,10 +306,10 @@
                 differs.then_some(Command::Join { name: member.name, zone: known.zone, minor })
             })
             .collect();
-        let quiet = join.is_empty();
+        let roster_is_current = join.is_empty();
         join.into_iter().for_each(|command| self.propose_own(command));
         let items = self.persistent.cluster_state.open_requests.clone();
-        let mut moved = false;
+        let mut has_proposed_event = false;
         for item in &items {
             if let Some(event) = self.due_event(item, &cluster_view, time, now) {
                 let (machine, approval) = (item.machine.clone(), item.approval.unwrap_or(0));
@@ -318,7 +319,7 @@
                     }
                     event => self.propose_own(Command::ReportEvent { machine, approval, event }),
                 }
-                moved = true;
+                has_proposed_event = true;
             }
         }
         let Some(lead) = &mut self.lead else { return };
@@ -327,8 +328,12 @@
             self.propose_own(Command::AdvanceClock);
         }
         // An incomplete group approves nothing, since too few disks would record the approval.
-        let whole = self.persistent.cluster_state.voters.len() >= self.config.founders.len().min(3);
-        if moved || !quiet || !whole || items.iter().all(|item| item.state != State::Requested) {
+        let is_complete = self.persistent.cluster_state.voters.len() >= self.config.founders.len().min(3);
+        if has_proposed_event
+            || !roster_is_current
+            || !is_complete
+            || items.iter().all(|item| item.state != State::Requested)
+        {
             return;
         }
         let (cluster_state, limits) = (&self.persistent.cluster_state, &self.config.limits);
@@ -342,8 +347,8 @@
                 // Logs the reason of the oldest request only, and compares it without digits, so that a
                 // reason with changing figures is logged once.
                 let kind: String = why.to_string().chars().filter(|c| !c.is_ascii_digit()).collect();
-                if lead.told != kind {
-                    lead.told = kind;
+                if lead.logged_wait_reason != kind {
+                    lead.logged_wait_reason = kind;
                     let line = format!("fleet: work on {machine} waits: {why}");
                     self.log(line);
                 }
@@ -362,7 +367,7 @@
         let expired = item.expires_at_ms.is_some_and(|until| time > until);
         let late = item.due_at_ms.is_some_and(|due| time > due);
         let seen = |seen: &&ObservedMember| seen.health == Health::Alive;
-        let all_say = |check: &dyn Fn(&Status) -> bool| {
+        let all_report = |check: &dyn Fn(&Status) -> bool| {
             cluster_view.members.iter().filter(seen).all(|seen| {
                 seen.status
                     .as_ref()
@@ -379,14 +384,14 @@
             (State::Draining, TargetKind::Server(server)) => {
                 let approval = item.approval.unwrap_or(0);
                 let free = |status: &Status| status.held.contains(&(server, approval, false));
-                all_say(&free).then_some(Event::Drained)
+                all_report(&free).then_some(Event::Drained)
             }
             (State::Returning, TargetKind::Server(server)) => {
                 let free = |status: &Status| !status.held.iter().any(|(held, ..)| *held == server);
-                all_say(&free).then_some(Event::Returned)
+                all_report(&free).then_some(Event::Returned)
             }
             (State::Approved | State::Draining | State::Returning | State::Overdue, TargetKind::Agent) => {
-                let lost = |peer: &Peer| peer.health == Health::Dead && now >= peer.since;
+                let lost = |peer: &Peer| peer.health == Health::Dead && now >= peer.health_since;
                 let lost = self.peers.get(&item.machine).is_some_and(lost);
                 let gone = lost && !(item.state == State::Overdue && item.drained);
                 gone.then_some(Event::MachineLost)
--- a/fleet/src/node/local_maintenance.rs
+++ b/fleet/src/node/local_maintenance.rs
@@ -36,7 +36,7 @@
             }
             State::Returning | State::Lost => {
                 self.resume_serving();
-                if self.own.serving {
+                if self.own_status.serving {
                     self.report(now, &name, approval, Event::Returned);
                 }
             }
@@ -47,8 +47,8 @@
     /// Asks through the log whether the approval is still valid. Once this is committed, the machine counts
     /// as out until it reports its return itself.
     pub(super) fn request_leave(&mut self, now: Millis, name: &str, approval: u64) {
-        let waits = self.leave_request.is_some_and(|(id, ..)| self.pending_requests.contains_key(&id));
-        if waits {
+        let is_pending = self.leave_request.is_some_and(|(id, ..)| self.pending_requests.contains_key(&id));
+        if is_pending {
             return;
         }
         if let Some((id, ..)) = self.leave_request.take() {
@@ -90,7 +90,7 @@
     }
 
     pub(super) fn report_drained(&mut self, now: Millis, name: &str, approval: u64) {
-        if !self.own.serving && self.own.calls == 0 {
+        if !self.own_status.serving && self.own_status.calls == 0 {
             self.report(now, name, approval, Event::Drained);
         }
     }
@@ -131,8 +131,8 @@
                 TargetKind::Agent => None,
             })
             .collect();
-        if held != self.held {
-            self.held.clone_from(&held);
+        if held != self.held_servers {
+            self.held_servers.clone_from(&held);
             self.effects.push(Effect::HoldServers(held));
         }
     }
--- a/fleet/src/node/membership.rs
+++ b/fleet/src/node/membership.rs
@@ -54,16 +54,16 @@
             }
         }
         for (name, (member, health)) in &seen {
-            let room = peers.len() < MAX_KNOWN_MEMBERS;
+            let has_capacity = peers.len() < MAX_KNOWN_MEMBERS;
             let told = |health: Health| Effect::Log(format!("fleet: {name} is {}", health.as_str()));
             let Some(peer) = peers.get_mut(*name) else {
-                if room {
+                if has_capacity {
                     effects.push(told(*health));
                     let (member, health) = (Member::clone(member), *health);
                     let peer = Peer {
                         member,
                         health,
-                        since: now,
+                        health_since: now,
                         left_incarnation: None,
                         status: None,
                         minor: None,
@@ -83,7 +83,7 @@
                 peer.member = Member::clone(member);
             }
             if peer.health != health {
-                (peer.health, peer.since) = (health, now);
+                (peer.health, peer.health_since) = (health, now);
                 effects.push(told(health));
             }
         }
@@ -91,12 +91,12 @@
         peers.retain(|name, peer| {
             seen.contains_key(name.as_str())
                 || roster.contains_key(name)
-                || now < peer.since + DEAD_MEMBER_RETENTION
+                || now < peer.health_since + DEAD_MEMBER_RETENTION
         });
         // The engine forgets dead members after a while; here they remain dead.
         for (name, peer) in peers {
             if !seen.contains_key(name.as_str()) && matches!(peer.health, Health::Alive | Health::Suspect) {
-                (peer.health, peer.since) = (Health::Dead, now);
+                (peer.health, peer.health_since) = (Health::Dead, now);
             }
         }
     }
@@ -190,8 +190,8 @@
         self.pending_report = None;
         self.last_persisted = self.persistent.clone();
         // Comes before all effects queued for the previous log.
-        let page = Box::new(self.persistent.clone());
+        let state = Box::new(self.persistent.clone());
         self.effects.retain(|effect| !matches!(effect, Effect::WriteLog(_) | Effect::Persist(_)));
-        self.effects.insert(0, Effect::ReplaceLog { page, log });
+        self.effects.insert(0, Effect::ReplaceLog { state, log });
     }
 }
--- a/fleet/src/node/mod.rs
+++ b/fleet/src/node/mod.rs
@@ -96,9 +96,9 @@
     /// Persist the state besides the log, as a whole.
     Persist(Box<PersistentState>),
     /// Replace the log: atomically delete the present one, write `log` (if there is one) in its place, and
-    /// persist `page`.
+    /// persist `state`.
     ReplaceLog {
-        page: Box<PersistentState>,
+        state: Box<PersistentState>,
         log: Option<Write>,
     },
     Send {
@@ -137,7 +137,7 @@
     member: Member,
     health: Health,
     /// When `health` last changed.
-    since: Millis,
+    health_since: Millis,
     /// The incarnation that announced a graceful leave.
     left_incarnation: Option<u64>,
     status: Option<(Status, Millis)>,
@@ -148,8 +148,8 @@
 #[derive(Clone, Debug)]
 struct PendingRequest {
     request: LeaderRequest,
-    since: Millis,
-    sent: Option<Millis>,
+    submitted_at: Millis,
+    last_sent: Option<Millis>,
 }
 
 /// Where the response to a command goes once the command is committed.
@@ -205,7 +205,7 @@
     started: Millis,
     /// Founders that reported that they know of no consensus group.
     founders_without_group: BTreeSet<String>,
-    own: Status,
+    own_status: Status,
     /// The request for permission to leave: its identifier, when it was submitted, and its approval number.
     leave_request: Option<(CommandId, Millis, u64)>,
     /// What this machine reports about itself (drained, returned): request, event, approval number, and
@@ -213,7 +213,7 @@
     pending_report: Option<(CommandId, Event, u64, bool)>,
     /// The caller was told to drain and not yet to resume.
     is_away: bool,
-    held: BTreeMap<u32, u64>,
+    held_servers: BTreeMap<u32, u64>,
     pending_requests: BTreeMap<CommandId, PendingRequest>,
     pending_proposals: BTreeMap<CommandId, Requester>,
     count: u64,
@@ -265,11 +265,11 @@
             leader_seen_at: now,
             started: now,
             founders_without_group: BTreeSet::new(),
-            own: Status::default(),
+            own_status: Status::default(),
             leave_request: None,
             pending_report: None,
             is_away: false,
-            held: BTreeMap::new(),
+            held_servers: BTreeMap::new(),
             pending_requests: BTreeMap::new(),
             pending_proposals: BTreeMap::new(),
             count: 0,
@@ -387,7 +387,7 @@
 
     /// Sets the local status that is reported to the leader.
     pub fn set_status(&mut self, status: Status) {
-        self.own = status;
+        self.own_status = status;
     }
 
     /// Handles a gap in the calls to the node, during which the process did not run. To be called at least
@@ -399,7 +399,7 @@
             self.streams.stall_detected(now);
             self.leader_seen_at += stalled_for;
             for peer in self.peers.values_mut() {
-                peer.since += stalled_for;
+                peer.health_since += stalled_for;
             }
             self.log(format!(
                 "fleet: the process was stalled for {stalled_for} ms, failure detection is postponed"
@@ -542,7 +542,7 @@
             self.effects.push(Effect::Response { id, response });
             return id;
         }
-        self.pending_requests.insert(id, PendingRequest { request, since: now, sent: None });
+        self.pending_requests.insert(id, PendingRequest { request, submitted_at: now, last_sent: None });
         self.retry_requests(now);
         id
     }
--- a/fleet/src/node/streams.rs
+++ b/fleet/src/node/streams.rs
@@ -119,15 +119,15 @@
             return;
         }
         let cluster_state = &self.persistent.cluster_state;
-        let own = |written: &StreamEpoch| match cluster_state.stream_owners.get(&written.stream) {
-            Some(by) => (by.boot, by.epoch) == (from.boot, written.epoch),
-            None => written.epoch == 0 && !cluster_state.closed_streams.contains(&written.stream),
+        let owns = |owned: &StreamEpoch| match cluster_state.stream_owners.get(&owned.stream) {
+            Some(owner) => (owner.boot, owner.epoch) == (from.boot, owned.epoch),
+            None => owned.epoch == 0 && !cluster_state.closed_streams.contains(&owned.stream),
         };
-        let owns_all = owned_streams.iter().all(own);
+        let owns_all = owned_streams.iter().all(owns);
         self.prune_pending_failovers();
         let Some(lead) = &mut self.lead else { return };
         lead.leases.held_replicas.insert(from.name.clone(), (held_replicas, now));
-        let fails_over = |written: &StreamEpoch| self.streams.pending_failovers.contains_key(&written.stream);
+        let fails_over = |owned: &StreamEpoch| self.streams.pending_failovers.contains_key(&owned.stream);
         if !owns_all || owned_streams.iter().any(fails_over) {
             // The sender learns of the failover from the agreed state.
             let (index, leader) = (self.persistent.index, self.leader_name());
@@ -160,8 +160,8 @@
     fn prune_pending_failovers(&mut self) {
         let term = self.consensus.as_ref().map_or(0, Consensus::term);
         let cluster_state = &self.persistent.cluster_state;
-        self.streams.pending_failovers.retain(|stream, (epoch, of)| {
-            *of == term && cluster_state.epoch(*stream).is_some_and(|now| now < *epoch)
+        self.streams.pending_failovers.retain(|stream, (epoch, proposed_in)| {
+            *proposed_in == term && cluster_state.epoch(*stream).is_some_and(|now| now < *epoch)
         });
     }
 
@@ -172,38 +172,38 @@
         let cluster_state = &self.persistent.cluster_state;
         lead.leases.held_replicas.retain(|_, (_, at)| now < *at + REPLICA_REPORT_VALIDITY);
         lead.leases.renewed.retain(|_, at| now < *at + FAILOVER_GRACE);
-        if now < lead.since + FAILOVER_GRACE || lead.leases.held_replicas.is_empty() {
+        if now < lead.leading_since + FAILOVER_GRACE || lead.leases.held_replicas.is_empty() {
             return;
         }
         // For each stream: its primary according to the log, or else according to the replicas.
         let mut owners: BTreeMap<u64, (String, u64, u64)> = BTreeMap::new();
         for (held_replicas, _) in lead.leases.held_replicas.values() {
             for held in held_replicas {
-                let stream = held.stream.stream;
+                let stream = held.stream_epoch.stream;
                 let Some(epoch) = cluster_state.epoch(stream) else { continue };
-                let writer = match cluster_state.stream_owners.get(&stream) {
-                    Some(by) => (by.name.clone(), epoch, by.boot),
+                let primary = match cluster_state.stream_owners.get(&stream) {
+                    Some(owner) => (owner.name.clone(), epoch, owner.boot),
                     None => (held.primary.clone(), 0, held.primary_boot),
                 };
-                owners.insert(stream, writer);
+                owners.insert(stream, primary);
             }
         }
-        for (stream, authority) in &cluster_state.stream_owners {
-            let writer = (authority.name.clone(), authority.epoch, authority.boot);
-            owners.insert(*stream, writer);
+        for (stream, owner) in &cluster_state.stream_owners {
+            let primary = (owner.name.clone(), owner.epoch, owner.boot);
+            owners.insert(*stream, primary);
         }
-        let mut orders = Vec::new();
-        for (stream, (writer, epoch, boot)) in owners {
+        let mut commands = Vec::new();
+        for (stream, (primary, epoch, boot)) in owners {
             if self.streams.pending_failovers.contains_key(&stream) {
                 continue;
             }
             let same = |known: u64| known == boot;
-            let (me, peer) = (self.swim.me(), self.peers.get(&writer));
+            let (me, peer) = (self.swim.me(), self.peers.get(&primary));
             let is_running = match peer {
                 Some(peer) => {
                     matches!(peer.health, Health::Alive | Health::Suspect) && same(peer.member.boot)
                 }
-                None => me.name == writer && same(me.boot),
+                None => me.name == primary && same(me.boot),
             };
             // A primary that announced its leave sends nothing more.
             let has_left = peer.is_some_and(|peer| {
@@ -222,26 +222,26 @@
             // Prefers members that hold a replica, then serving ones, then the most complete replica.
             let serves = |name: &str| match self.peers.get(name) {
                 Some(peer) => peer.status.as_ref().is_some_and(|(status, _)| status.serving),
-                None => self.own.serving,
+                None => self.own_status.serving,
             };
             let candidates =
-                lead.leases.held_replicas.iter().filter(|(name, _)| alive(name) && **name != writer);
-            let most = |held_replicas: &[HeldReplica]| {
-                let held = held_replicas.iter().filter(|held| held.stream.stream == stream);
-                held.map(|held| (held.stream.epoch, held.sequence)).max()
+                lead.leases.held_replicas.iter().filter(|(name, _)| alive(name) && **name != primary);
+            let newest = |held_replicas: &[HeldReplica]| {
+                let held = held_replicas.iter().filter(|held| held.stream_epoch.stream == stream);
+                held.map(|held| (held.stream_epoch.epoch, held.sequence)).max()
             };
             let next = candidates
-                .filter(|(_, (held_replicas, _))| most(held_replicas).is_some() || epoch > 0)
+                .filter(|(_, (held_replicas, _))| newest(held_replicas).is_some() || epoch > 0)
                 .max_by_key(|(name, (held_replicas, _))| {
-                    (most(held_replicas).is_some(), serves(name), most(held_replicas), (*name).clone())
+                    (newest(held_replicas).is_some(), serves(name), newest(held_replicas), (*name).clone())
                 });
             if let Some((name, _)) = next {
                 let (name, boot) = (name.clone(), boot_of(name));
-                orders.push(Command::FailOver { stream, epoch: epoch + 1, name, boot });
+                commands.push(Command::FailOver { stream, epoch: epoch + 1, name, boot });
             }
         }
         let term = self.consensus.as_ref().map_or(0, Consensus::term);
-        for command in orders {
+        for command in commands {
             if let Command::FailOver { stream, epoch, .. } = &command {
                 self.streams.pending_failovers.insert(*stream, (*epoch, term));
             }
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -294,8 +294,8 @@
             match effect {
                 Effect::WriteLog(write) => machine.directory.log.write(write),
                 Effect::Persist(page) => machine.directory.page = Some(*page),
-                Effect::ReplaceLog { page, log } => {
-                    machine.directory = Directory { page: Some(*page), log: LogImage::default() };
+                Effect::ReplaceLog { state, log } => {
+                    machine.directory = Directory { page: Some(*state), log: LogImage::default() };
                     if let Some(write) = log {
                         machine.directory.log.write(write);
                     }
@@ -432,7 +432,7 @@
         writes.extend(mine.map(|(stream, by)| StreamEpoch { stream: *stream, epoch: by.epoch }));
         let held = self.streams.iter().filter(|stream| stream.held.contains(&(place, boot)));
         let holds = held.map(|stream| HeldReplica {
-            stream: StreamEpoch { stream: stream.boot, epoch: 0 },
+            stream_epoch: StreamEpoch { stream: stream.boot, epoch: 0 },
             primary: self.name(stream.place),
             primary_boot: stream.boot,
             sequence: 1,
