--- a/fleet/src/maintenance.rs
+++ b/fleet/src/maintenance.rs
@@ -249,7 +249,7 @@
     /// Only the machine itself ends its being out, except that an operator may declare a lost one gone for
     /// good.
     #[test]
-    fn only_the_machine_ends_its_being_out() {
+    fn only_the_machine_itself_ends_its_being_out() {
         for state in State::ALL.into_iter().filter(|state| state.counts_as_out()) {
             for event in Event::ALL.into_iter().filter(|event| *event != Event::Returned) {
                 for drained in [false, true] {
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -1,9 +1,11 @@
-//! All interleavings of a small fleet's grants: messages between machines and the log are lost, doubled and
-//! late, leaders decide by a state that was, machines sleep and forget what they asked. The log itself is
-//! in one order, which is what the engine gives; `Agreed::apply` is the program's own.
+//! Model check of all interleavings of the approvals of a small cluster: messages between machines and the
+//! log are lost, duplicated and delayed, leaders decide by an outdated state, machines stall and forget
+//! their requests. The log itself is in one order, as the Raft engine guarantees; `ClusterState::apply` is
+//! the real implementation.
 //!
-//! Bounds explored: two machines, eight steps; one that goes twice, thirteen steps, without loss and
-//! doubling on the way into the log. Two grants and two commands under way at once, in every order.
+//! Explored bounds: two machines with eight steps; one machine that leaves twice with thirteen steps,
+//! without loss and duplication on the way into the log. Two approvals and two commands in flight at once,
+//! in every order.
 
 use stateright::{Checker, Model, Property};
 use steprelay_fleet::cluster_state::{ClusterState, Command, CommandId, LogEntry};
@@ -11,73 +13,73 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Machine {
-    /// It has sent its clients away, by this grant; kept over a crash.
+    /// The approval under which it left; kept over a crash.
     away: Option<u64>,
-    /// What it asked the council last: the grant, and the number of the question.
+    /// Its last request to leave: the approval, and the number of the request.
     asked: Option<(u64, u64)>,
-    /// Answers on their way to it.
-    answers: Vec<(u64, bool)>,
+    /// Responses in flight to the machine.
+    responses: Vec<(u64, bool)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Fleet {
+struct ModelState {
     cluster_state: ClusterState,
     machines: Vec<Machine>,
-    /// Commands on their way into the log, in no order; each may be said twice.
-    under_way: Vec<(Option<usize>, LogEntry)>,
+    /// Commands in flight to the log, unordered; each may be delivered twice.
+    in_flight: Vec<(Option<usize>, LogEntry)>,
     count: u64,
     approvals: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    /// A leader decides by a state so many changes old.
+enum Step {
+    /// A leader decides by a state that is `behind` changes old.
     Decide {
         machine: usize,
         behind: u64,
     },
     RequestLeave(usize),
     Deliver {
-        place: usize,
-        twice: bool,
+        index: usize,
+        duplicate: bool,
     },
     Lose(usize),
-    Answer {
+    DeliverResponse {
         machine: usize,
-        place: usize,
-        twice: bool,
+        index: usize,
+        duplicate: bool,
     },
-    /// It slept, or started anew: what it asked is void, and answers may still come.
+    /// The machine stalled or restarted: its request is void, while responses may still arrive.
     Forget(usize),
-    /// Staff ask once more, when all is over.
-    Again(usize),
-    /// Staff, or the leader about a machine that it takes for lost.
-    Say {
+    /// Operators request maintenance again after it was closed.
+    RequestAgain(usize),
+    /// A command of operators, or of the leader about a machine that it considers lost.
+    ApplyEvent {
         machine: usize,
         event: Event,
     },
     Back(usize),
 }
 
-struct Grants {
+struct ApprovalModel {
     machines: usize,
     zones: &'static [&'static str],
-    most_grants: u64,
-    /// Steps of one life, at most.
+    max_approvals: u64,
+    /// Bound on the steps of one execution.
     depth: u64,
-    /// The guard of the program, or one of its parts taken out.
-    guard: Guard,
+    /// The protocol as implemented, or without one of its parts.
+    protocol: Protocol,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Guard {
-    Whole,
-    /// A machine leaves as soon as it sees its grant.
-    NoQuestion,
-    /// It takes any answer for the one to its question.
+enum Protocol {
+    Complete,
+    /// A machine leaves as soon as it sees its approval.
+    NoConfirmation,
+    /// A machine accepts any response as the one to its request.
     AnyAnswer,
-    /// A machine that says that it is out is taken off the list when staff say that work is over.
-    DoneAtOnce,
+    /// A request is closed as soon as operators finish it, before the machine returns.
+    CloseOnFinish,
 }
 
 fn name(machine: usize) -> String {
@@ -96,132 +98,135 @@
     }
 }
 
-impl Model for Grants {
-    type State = Fleet;
-    type Action = Act;
+impl Model for ApprovalModel {
+    type State = ModelState;
+    type Action = Step;
 
-    fn init_states(&self) -> Vec<Fleet> {
+    fn init_states(&self) -> Vec<ModelState> {
         let mut cluster_state = ClusterState::default();
         let mut count = 0;
         let mut say = |command| {
             count += 1;
             let entry = LogEntry { id: CommandId { origin: 0, count }, at_ms: 0, command };
-            cluster_state.apply(&entry).expect("a start");
+            cluster_state.apply(&entry).expect("initial command accepted");
         };
         for machine in 0..self.machines {
             say(Command::Join { name: name(machine), zone: self.zones[machine].into(), minor: 1 });
             say(add(machine));
         }
-        let idle = Machine { away: None, asked: None, answers: Vec::new() };
-        vec![Fleet {
+        let idle = Machine { away: None, asked: None, responses: Vec::new() };
+        vec![ModelState {
             cluster_state,
             machines: vec![idle; self.machines],
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             count,
             approvals: 0,
         }]
     }
 
-    fn actions(&self, fleet: &Fleet, acts: &mut Vec<Act>) {
-        let room = fleet.under_way.len() < 2;
+    fn actions(&self, snapshot: &ModelState, steps: &mut Vec<Step>) {
+        let has_capacity = snapshot.in_flight.len() < 2;
         for machine in 0..self.machines {
-            let item = fleet.cluster_state.open_request(&name(machine));
+            let item = snapshot.cluster_state.open_request(&name(machine));
             let state = item.map(|item| item.state);
-            if room && fleet.approvals < self.most_grants && state == Some(State::Requested) {
-                acts.push(Act::Decide { machine, behind: 0 });
-                acts.push(Act::Decide { machine, behind: 1 });
+            if has_capacity && snapshot.approvals < self.max_approvals && state == Some(State::Requested) {
+                steps.push(Step::Decide { machine, behind: 0 });
+                steps.push(Step::Decide { machine, behind: 1 });
             }
-            let own = &fleet.machines[machine];
-            if room && own.asked.is_none() && matches!(state, Some(State::Approved | State::Draining)) {
-                acts.push(Act::RequestLeave(machine));
+            let own = &snapshot.machines[machine];
+            if has_capacity && own.asked.is_none() && matches!(state, Some(State::Approved | State::Draining))
+            {
+                steps.push(Step::RequestLeave(machine));
             }
             if own.asked.is_some() && self.machines > 1 {
-                acts.push(Act::Forget(machine));
+                steps.push(Step::Forget(machine));
             }
-            for place in 0..own.answers.len() {
-                acts.push(Act::Answer { machine, place, twice: false });
-                acts.push(Act::Answer { machine, place, twice: true });
+            for index in 0..own.responses.len() {
+                steps.push(Step::DeliverResponse { machine, index, duplicate: false });
+                steps.push(Step::DeliverResponse { machine, index, duplicate: true });
             }
             if state.is_none() && own.away.is_none() {
-                acts.push(Act::Again(machine));
+                steps.push(Step::RequestAgain(machine));
             }
             if let Some(state) = state {
                 for event in [Event::Withdraw, Event::Finish, Event::MachineLost, Event::Lapse] {
-                    // Staff's word that a lost machine is gone for good is theirs to answer for.
+                    // Operators are responsible for declaring a lost machine gone for good.
                     if (state, event) != (State::Lost, Event::Withdraw) {
-                        acts.push(Act::Say { machine, event });
+                        steps.push(Step::ApplyEvent { machine, event });
                     }
                 }
-                if room && matches!(state, State::Returning | State::Lost) {
-                    acts.push(Act::Back(machine));
+                if has_capacity && matches!(state, State::Returning | State::Lost) {
+                    steps.push(Step::Back(machine));
                 }
             }
         }
-        for place in 0..fleet.under_way.len() {
-            acts.push(Act::Deliver { place, twice: false });
+        for index in 0..snapshot.in_flight.len() {
+            steps.push(Step::Deliver { index, duplicate: false });
             if self.machines > 1 {
-                acts.push(Act::Deliver { place, twice: true });
-                acts.push(Act::Lose(place));
+                steps.push(Step::Deliver { index, duplicate: true });
+                steps.push(Step::Lose(index));
             }
         }
     }
 
-    fn next_state(&self, before: &Fleet, act: Act) -> Option<Fleet> {
-        let mut fleet = before.clone();
-        fleet.count += 1;
-        let id = CommandId { origin: 1, count: fleet.count };
+    fn next_state(&self, before: &ModelState, step: Step) -> Option<ModelState> {
+        let mut snapshot = before.clone();
+        snapshot.count += 1;
+        let id = CommandId { origin: 1, count: snapshot.count };
         let entry = |command| LogEntry { id, at_ms: 0, command };
-        match act {
-            Act::Decide { machine, behind } => {
-                fleet.approvals += 1;
-                let base_version = fleet.cluster_state.version.saturating_sub(behind);
+        match step {
+            Step::Decide { machine, behind } => {
+                snapshot.approvals += 1;
+                let base_version = snapshot.cluster_state.version.saturating_sub(behind);
                 let approval = Command::Approve { machine: name(machine), base_version, max_out: 1 };
-                fleet.under_way.push((None, entry(approval)));
+                snapshot.in_flight.push((None, entry(approval)));
             }
-            Act::RequestLeave(machine) => {
-                let approval = fleet.cluster_state.open_request(&name(machine))?.approval?;
-                let own = &mut fleet.machines[machine];
-                if self.guard == Guard::NoQuestion {
+            Step::RequestLeave(machine) => {
+                let approval = snapshot.cluster_state.open_request(&name(machine))?.approval?;
+                let own = &mut snapshot.machines[machine];
+                if self.protocol == Protocol::NoConfirmation {
                     own.away = Some(approval);
                 }
                 own.asked = Some((approval, id.count));
                 let begin = Command::ReportEvent { machine: name(machine), approval, event: Event::Begin };
-                fleet.under_way.push((Some(machine), entry(begin)));
+                snapshot.in_flight.push((Some(machine), entry(begin)));
             }
-            Act::Deliver { place, twice } => {
-                let (asker, said) = fleet.under_way[place].clone();
-                if !twice {
-                    fleet.under_way.remove(place);
+            Step::Deliver { index, duplicate } => {
+                let (requester, entry) = snapshot.in_flight[index].clone();
+                if !duplicate {
+                    snapshot.in_flight.remove(index);
                 }
-                let done = fleet.cluster_state.apply(&said).is_ok();
-                if let Some(machine) = asker.filter(|_| matches!(said.command, Command::ReportEvent { .. })) {
-                    let answers = &mut fleet.machines[machine].answers;
-                    if answers.len() < 2 {
-                        answers.push((said.id.count, done));
+                let done = snapshot.cluster_state.apply(&entry).is_ok();
+                if let Some(machine) =
+                    requester.filter(|_| matches!(entry.command, Command::ReportEvent { .. }))
+                {
+                    let responses = &mut snapshot.machines[machine].responses;
+                    if responses.len() < 2 {
+                        responses.push((entry.id.count, done));
                     }
                 }
             }
-            Act::Lose(place) => drop(fleet.under_way.remove(place)),
-            Act::Answer { machine, place, twice } => {
-                let own = &mut fleet.machines[machine];
-                let (question, done) = own.answers[place];
-                if !twice {
-                    own.answers.remove(place);
+            Step::Lose(index) => drop(snapshot.in_flight.remove(index)),
+            Step::DeliverResponse { machine, index, duplicate } => {
+                let own = &mut snapshot.machines[machine];
+                let (question, done) = own.responses[index];
+                if !duplicate {
+                    own.responses.remove(index);
                 }
                 let asked =
-                    own.asked.filter(|(_, asked)| *asked == question || self.guard == Guard::AnyAnswer);
+                    own.asked.filter(|(_, asked)| *asked == question || self.protocol == Protocol::AnyAnswer);
                 let (approval, _) = asked?;
                 own.asked = None;
                 if done {
                     own.away = Some(approval);
                 }
             }
-            Act::Again(machine) => {
-                fleet.cluster_state.apply(&entry(add(machine))).ok()?;
+            Step::RequestAgain(machine) => {
+                snapshot.cluster_state.apply(&entry(add(machine))).ok()?;
             }
-            Act::Forget(machine) => fleet.machines[machine].asked = None,
-            Act::Say { machine, event } => {
-                let item = fleet.cluster_state.open_request(&name(machine))?;
+            Step::Forget(machine) => snapshot.machines[machine].asked = None,
+            Step::ApplyEvent { machine, event } => {
+                let item = snapshot.cluster_state.open_request(&name(machine))?;
                 let command = match event {
                     Event::Withdraw => Command::Withdraw { machine: name(machine) },
                     Event::Finish => Command::Finish { machine: name(machine) },
@@ -231,14 +236,14 @@
                         event,
                     },
                 };
-                if fleet.cluster_state.apply(&entry(command)).is_err() {
+                if snapshot.cluster_state.apply(&entry(command)).is_err() {
                     return None;
                 }
-                if self.guard == Guard::DoneAtOnce && event == Event::Finish {
-                    let approval = fleet.cluster_state.open_request(&name(machine))?.approval?;
+                if self.protocol == Protocol::CloseOnFinish && event == Event::Finish {
+                    let approval = snapshot.cluster_state.open_request(&name(machine))?.approval?;
                     let back =
                         Command::ReportEvent { machine: name(machine), approval, event: Event::Returned };
-                    fleet
+                    snapshot
                         .cluster_state
                         .apply(&LogEntry {
                             id: CommandId { origin: 2, count: id.count },
@@ -248,63 +253,67 @@
                         .ok()?;
                 }
             }
-            // It serves again, and says so after that.
-            Act::Back(machine) => {
-                let approval = fleet.cluster_state.open_request(&name(machine))?.approval?;
-                let own = &mut fleet.machines[machine];
+            // The machine serves again, and reports it after that.
+            Step::Back(machine) => {
+                let approval = snapshot.cluster_state.open_request(&name(machine))?.approval?;
+                let own = &mut snapshot.machines[machine];
                 (own.away, own.asked) = (None, None);
                 let back = Command::ReportEvent { machine: name(machine), approval, event: Event::Returned };
-                fleet.under_way.push((None, entry(back)));
+                snapshot.in_flight.push((None, entry(back)));
             }
         }
-        Some(fleet)
+        Some(snapshot)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("one machine at most is away", |_, fleet| {
-                fleet.machines.iter().filter(|machine| machine.away.is_some()).count() <= 1
+            Property::<Self>::always("at most one machine is out", |_, snapshot| {
+                snapshot.machines.iter().filter(|machine| machine.away.is_some()).count() <= 1
             }),
-            Property::<Self>::always("whoever is away is counted as out", |_, fleet| {
-                fleet.machines.iter().enumerate().filter(|(_, own)| own.away.is_some()).all(|(machine, _)| {
-                    fleet.cluster_state.machines_out().any(|item| item.machine == name(machine))
-                })
+            Property::<Self>::always("every machine that is out counts as out", |_, snapshot| {
+                snapshot.machines.iter().enumerate().filter(|(_, own)| own.away.is_some()).all(
+                    |(machine, _)| {
+                        snapshot.cluster_state.machines_out().any(|item| item.machine == name(machine))
+                    },
+                )
             }),
-            Property::<Self>::sometimes("machines go", |_, fleet| {
-                fleet.machines.iter().any(|machine| machine.away.is_some())
+            Property::<Self>::sometimes("machines leave", |_, snapshot| {
+                snapshot.machines.iter().any(|machine| machine.away.is_some())
             }),
         ]
     }
 
-    fn within_boundary(&self, fleet: &Fleet) -> bool {
-        // Questions are asked again without end; so many of them show all there is.
-        fleet.count < 2 * self.machines as u64 + self.depth
+    fn within_boundary(&self, snapshot: &ModelState) -> bool {
+        // Requests are repeated without end; this many steps reach all distinct behaviour.
+        snapshot.count < 2 * self.machines as u64 + self.depth
     }
 }
 
-/// What breaks with two machines that go once, or with one that goes again and again.
-fn broken(machines: usize, guard: Guard) -> Vec<&'static str> {
+/// Returns the violated properties, for two machines that leave once or one machine that leaves repeatedly.
+fn violated_properties(machines: usize, protocol: Protocol) -> Vec<&'static str> {
     let depth = if machines == 1 { 14 } else { 9 };
-    let model = Grants { machines, zones: &["z1", "z1"], most_grants: 2, depth, guard };
+    let model = ApprovalModel { machines, zones: &["z1", "z1"], max_approvals: 2, depth, protocol };
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{machines} machines: {} states", checker.unique_state_count());
     let mut names: Vec<&str> =
-        checker.discoveries().into_keys().filter(|name| *name != "machines go").collect();
+        checker.discoveries().into_keys().filter(|name| *name != "machines leave").collect();
     names.sort_unstable();
-    assert!(checker.discovery("machines go").is_some(), "nothing was tried");
+    assert!(checker.discovery("machines leave").is_some(), "no machine left");
     names
 }
 
 #[test]
-fn no_interleaving_has_two_machines_away_or_one_that_is_not_counted() {
-    assert_eq!(broken(1, Guard::Whole), Vec::<&str>::new());
-    assert_eq!(broken(2, Guard::Whole), Vec::<&str>::new());
+fn no_interleaving_has_two_machines_out_or_one_that_is_not_counted() {
+    assert_eq!(violated_properties(1, Protocol::Complete), Vec::<&str>::new());
+    assert_eq!(violated_properties(2, Protocol::Complete), Vec::<&str>::new());
 }
 
-/// Each part of the guard is there for something.
+/// Without each part of the protocol some property is violated.
 #[test]
-fn without_a_part_of_the_guard_a_bound_breaks() {
-    for (machines, guard) in [(2, Guard::NoQuestion), (1, Guard::AnyAnswer), (2, Guard::DoneAtOnce)] {
-        assert!(!broken(machines, guard).is_empty(), "{guard:?}");
+fn without_any_part_of_the_protocol_a_property_is_violated() {
+    for (machines, protocol) in
+        [(2, Protocol::NoConfirmation), (1, Protocol::AnyAnswer), (2, Protocol::CloseOnFinish)]
+    {
+        assert!(!violated_properties(machines, protocol).is_empty(), "{protocol:?}");
     }
 }
--- a/fleet/tests/order.rs
+++ b/fleet/tests/order.rs
@@ -1,4 +1,4 @@
-//! In which order work is granted, and why not yet: what the leader makes of what it is told.
+//! Order of approvals, and the reasons to wait, as the leader derives them from reported knowledge.
 
 use steprelay_fleet::cluster_state::{ClusterState, Command, CommandId, LogEntry};
 use steprelay_fleet::maintenance::{Event, TargetKind};
@@ -8,22 +8,22 @@
 
 const LIMITS: Limits = Limits { max_out: 1, reserve: 0.5, calm_ms: 1_000 };
 
-/// Four machines in two zones, each with a load of 10 a second that could be 20; all but n4 are to be
-/// worked on.
-struct Stand {
+/// Four machines in two zones, each with a load of 10 a second and a capacity of 20; all but n4 have an
+/// open request.
+struct Fixture {
     cluster_state: ClusterState,
     view: ClusterView,
     count: u64,
 }
 
-impl Stand {
+impl Fixture {
     fn new() -> Self {
-        let mut stand =
-            Stand { cluster_state: ClusterState::default(), view: ClusterView::default(), count: 0 };
-        stand.view.max_status_age_ms = 1_000;
+        let mut fixture =
+            Fixture { cluster_state: ClusterState::default(), view: ClusterView::default(), count: 0 };
+        fixture.view.max_status_age_ms = 1_000;
         for number in 1..=4 {
             let (name, zone) = (format!("n{number}"), format!("z{}", (number + 1) / 2));
-            stand.say(Command::Join { name: name.clone(), zone: zone.clone(), minor: 1 });
+            fixture.apply(Command::Join { name: name.clone(), zone: zone.clone(), minor: 1 });
             let status = Status {
                 serving: true,
                 load_milli: 10_000,
@@ -31,25 +31,25 @@
                 classes: vec![vec![1, 2], vec![2]],
                 ..Status::default()
             };
-            stand.view.members.push(ObservedMember {
+            fixture.view.members.push(ObservedMember {
                 name,
                 zone,
                 health: Health::Alive,
                 status: Some((status, 100)),
             });
         }
-        (1..=3).for_each(|number| stand.add(&format!("n{number}"), TargetKind::Agent));
-        stand
+        (1..=3).for_each(|number| fixture.add(&format!("n{number}"), TargetKind::Agent));
+        fixture
     }
 
-    fn say(&mut self, command: Command) {
+    fn apply(&mut self, command: Command) {
         self.count += 1;
         let id = CommandId { origin: 1, count: self.count };
-        self.cluster_state.apply(&LogEntry { id, at_ms: self.count, command }).expect("carried out");
+        self.cluster_state.apply(&LogEntry { id, at_ms: self.count, command }).expect("command accepted");
     }
 
     fn add(&mut self, machine: &str, kind: TargetKind) {
-        self.say(Command::Add {
+        self.apply(Command::Add {
             machine: machine.into(),
             kind,
             zone: String::new(),
@@ -60,15 +60,15 @@
         });
     }
 
-    /// A machine goes and comes back.
-    fn done(&mut self, machine: &str) {
+    /// A machine leaves and returns.
+    fn complete_maintenance(&mut self, machine: &str) {
         let (base_version, approval) = (self.cluster_state.version, self.cluster_state.last_approval + 1);
-        self.say(Command::Approve { machine: machine.into(), base_version, max_out: 9 });
+        self.apply(Command::Approve { machine: machine.into(), base_version, max_out: 9 });
         for event in [Event::Begin, Event::Drained] {
-            self.say(Command::ReportEvent { machine: machine.into(), approval, event });
+            self.apply(Command::ReportEvent { machine: machine.into(), approval, event });
         }
-        self.say(Command::Finish { machine: machine.into() });
-        self.say(Command::ReportEvent { machine: machine.into(), approval, event: Event::Returned });
+        self.apply(Command::Finish { machine: machine.into() });
+        self.apply(Command::ReportEvent { machine: machine.into(), approval, event: Event::Returned });
     }
 
     fn member(&mut self, name: &str) -> &mut ObservedMember {
@@ -76,22 +76,22 @@
     }
 
     fn status(&mut self, name: &str) -> &mut (Status, u64) {
-        self.member(name).status.as_mut().expect("a word")
+        self.member(name).status.as_mut().expect("a status")
     }
 
     fn next(&self) -> Option<String> {
         next_candidate(&self.cluster_state, &self.view, &LIMITS).ok()
     }
 
-    fn why(&self, machine: &str) -> String {
+    fn explanation(&self, machine: &str) -> String {
         explain(&self.cluster_state, &self.view, &LIMITS, machine)
     }
 }
 
-/// What is done to the stand, and what staff are told about n1 then.
+/// A change to the fixture, and the explanation for n1 that follows.
 #[test]
-fn each_reason_to_wait_is_told() {
-    type Do = fn(&mut Stand);
+fn each_reason_to_wait_is_explained() {
+    type Do = fn(&mut Fixture);
     let table: [(Do, &str); 13] = [
         (|_| {}, "n1: it is next"),
         (
@@ -111,42 +111,43 @@
             |s| s.status("n4").0.capacity_milli = 19_000,
             "n1: not yet, because 59 set-ups a second would remain, 40 and the reserve are needed",
         ),
-        // Where one does not know what it can take, the sum is not known.
+        // With one unknown capacity the total is unknown.
         (|s| s.status("n4").0.capacity_milli = 0, "n1: it is next"),
         (|s| s.status("n1").0.load_milli = 20_000, "n1: not yet, because n2 goes first"),
-        (|s| s.done("n1"), "n1: its work is done"),
-        (|s| s.say(Command::Withdraw { machine: "n1".into() }), "n1: its work is withdrawn"),
+        (|s| s.complete_maintenance("n1"), "n1: its work is done"),
+        (|s| s.apply(Command::Withdraw { machine: "n1".into() }), "n1: its work is withdrawn"),
     ];
     for (place, (change, told)) in table.into_iter().enumerate() {
-        let mut stand = Stand::new();
-        // Three are left of four: 60 for 40 and half as much again.
-        change(&mut stand);
+        let mut fixture = Fixture::new();
+        // Three of four machines remain: 60 for a load of 40 plus half of it in reserve.
+        change(&mut fixture);
         if told.contains("goes first") {
-            stand.status("n2").0.load_milli = 0;
+            fixture.status("n2").0.load_milli = 0;
         }
-        assert_eq!(stand.why("n1"), told, "line {place}");
+        assert_eq!(fixture.explanation("n1"), told, "line {place}");
     }
-    assert_eq!(Stand::new().why("n4"), "n4: no work was requested");
+    assert_eq!(Fixture::new().explanation("n4"), "n4: no work was requested");
 }
 
 #[test]
-fn zones_go_one_after_the_other_and_nobody_starves() {
-    let mut stand = Stand::new();
-    assert_eq!(stand.next().as_deref(), Some("n1"), "the oldest");
-    stand.done("n1");
-    assert_eq!(stand.next().as_deref(), Some("n2"), "of the same zone");
-    stand.done("n2");
-    assert_eq!(stand.next().as_deref(), Some("n3"));
-    // One that is always less loaded and of the right zone passes another eight times at most.
-    let mut stand = Stand::new();
-    stand.say(Command::Withdraw { machine: "n2".into() });
-    stand.status("n3").0.load_milli = 19_000;
-    stand.status("n1").0.load_milli = 0;
+fn zones_are_completed_in_turn_and_no_request_starves() {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.next().as_deref(), Some("n1"), "oldest request");
+    fixture.complete_maintenance("n1");
+    assert_eq!(fixture.next().as_deref(), Some("n2"), "same zone");
+    fixture.complete_maintenance("n2");
+    assert_eq!(fixture.next().as_deref(), Some("n3"));
+    // A machine that is always less loaded and of the preferred zone passes another one over eight times at
+    // most.
+    let mut fixture = Fixture::new();
+    fixture.apply(Command::Withdraw { machine: "n2".into() });
+    fixture.status("n3").0.load_milli = 19_000;
+    fixture.status("n1").0.load_milli = 0;
     let mut turns = Vec::new();
     for _ in 0..10 {
-        let machine = stand.next().expect("one can go");
-        stand.done(&machine);
-        stand.add(&machine, TargetKind::Agent);
+        let machine = fixture.next().expect("one is eligible");
+        fixture.complete_maintenance(&machine);
+        fixture.add(&machine, TargetKind::Agent);
         turns.push(machine);
     }
     assert_eq!(turns.iter().position(|machine| machine == "n3"), Some(8), "{turns:?}");
@@ -154,16 +155,16 @@
 
 #[test]
 fn the_last_check_server_of_a_class_stays() {
-    let mut stand = Stand::new();
-    stand.add("s-00000001", TargetKind::Server(1));
-    stand.add("s-00000002", TargetKind::Server(2));
-    assert_eq!(stand.why("s-00000001"), "s-00000001: it is next");
-    let told = stand.why("s-00000002");
+    let mut fixture = Fixture::new();
+    fixture.add("s-00000001", TargetKind::Server(1));
+    fixture.add("s-00000002", TargetKind::Server(2));
+    assert_eq!(fixture.explanation("s-00000001"), "s-00000001: it is next");
+    let told = fixture.explanation("s-00000002");
     assert!(told.ends_with("s-00000002 would be the last check server that can serve class 1"), "{told}");
-    // Once the other is out, this one is the last for class 0 as well.
-    let base_version = stand.cluster_state.version;
-    stand.say(Command::Approve { machine: "s-00000001".into(), base_version, max_out: 2 });
+    // Once the other server is out, this one is the last for class 0, too.
+    let base_version = fixture.cluster_state.version;
+    fixture.apply(Command::Approve { machine: "s-00000001".into(), base_version, max_out: 2 });
     let limits = Limits { max_out: 2, ..LIMITS };
-    let told = explain(&stand.cluster_state, &stand.view, &limits, "s-00000002");
+    let told = explain(&fixture.cluster_state, &fixture.view, &limits, "s-00000002");
     assert!(told.ends_with("serve class 0"), "{told}");
 }
--- a/fleet/tests/seeds.rs
+++ b/fleet/tests/seeds.rs
@@ -1,137 +1,138 @@
-//! Lives of fleets with faults drawn from a seed: three at a time, over and over, while all machines are
-//! worked on.
+//! Simulations with faults drawn from a seed: three faults at a time, repeatedly, while all machines go
+//! through maintenance.
 
 mod world;
 
 use steprelay_fleet::maintenance::State;
-use world::World;
+use world::Simulation;
 
-/// Seeds in CI; `SEEDS=200` for more.
+/// Number of seeds in CI; `SEEDS=200` runs more.
 const SEEDS: u64 = 12;
 
-fn simulate(seed: u64) -> World {
-    let mut world = World::new(seed, 7, 3, 1, 800);
-    world.copied = true;
-    world.start_all();
-    assert!(world.until(30_000, World::is_whole), "seed {seed}: no whole fleet\n{}", world.logs());
+fn simulate(seed: u64) -> Simulation {
+    let mut sim = Simulation::new(seed, 7, 3, 1, 800);
+    sim.replicates = true;
+    sim.start_all();
+    assert!(sim.run_until(30_000, Simulation::has_converged), "seed {seed}: no convergence\n{}", sim.logs());
     for _ in 0..10 {
-        if world.random(3) > 0 {
-            world.heal();
-            for place in 0..world.machines.len() {
-                if world.machines[place].node.is_none() {
-                    world.start(place);
+        if sim.random(3) > 0 {
+            sim.heal();
+            for index in 0..sim.machines.len() {
+                if sim.machines[index].node.is_none() {
+                    sim.start(index);
                 }
             }
         }
-        // The faults come when a machine may be on its way, as far as the leader knows.
-        let (now, wait) = (world.now, world.random(2_000) as u64);
-        while world.now < now + 15_000 && !moves(&world) {
-            world.run(150);
-            staff(&mut world);
+        // Faults are injected while a machine may be leaving, as far as the leader knows.
+        let (now, wait) = (sim.now, sim.random(2_000) as u64);
+        while sim.now < now + 15_000 && !is_maintenance_in_progress(&sim) {
+            sim.run(150);
+            run_operator(&mut sim);
         }
-        world.run(wait);
+        sim.run(wait);
         for _ in 0..3 {
-            fault(&mut world);
+            inject_fault(&mut sim);
         }
         for _ in 0..40 {
-            world.run(150);
-            staff(&mut world);
+            sim.run(150);
+            run_operator(&mut sim);
         }
     }
-    world.heal();
-    for place in 0..world.machines.len() {
-        world.machines[place].stalled_until = 0;
-        if world.machines[place].node.is_none() {
-            world.start(place);
+    sim.heal();
+    for index in 0..sim.machines.len() {
+        sim.machines[index].stalled_until = 0;
+        if sim.machines[index].node.is_none() {
+            sim.start(index);
         }
     }
-    world
+    sim
 }
 
-/// Whether the leader has granted anything that is not over.
-fn moves(world: &World) -> bool {
-    world.leader().is_some_and(|leader| world.node(leader).cluster_state().machines_out().next().is_some())
+/// Whether the leader's state has an approved request that is not closed.
+fn is_maintenance_in_progress(sim: &Simulation) -> bool {
+    sim.leader().is_some_and(|leader| sim.node(leader).cluster_state().machines_out().next().is_some())
 }
 
-fn fault(world: &mut World) {
-    let place = world.random(world.machines.len());
-    match world.random(11) {
-        0 => (world.loss, world.doubled) = (0.3, 0.2),
-        1 => world.delay = (1, 800),
-        2 => world.stall(place, 10_000),
-        3 if world.machines[place].node.is_some() => world.kill(place),
+fn inject_fault(sim: &mut Simulation) {
+    let index = sim.random(sim.machines.len());
+    match sim.random(11) {
+        0 => (sim.loss_rate, sim.duplication_rate) = (0.3, 0.2),
+        1 => sim.delay = (1, 800),
+        2 => sim.stall(index, 10_000),
+        3 if sim.machines[index].node.is_some() => sim.kill(index),
         4 => {
-            if let Some(leader) = world.leader() {
-                world.kill(leader);
+            if let Some(leader) = sim.leader() {
+                sim.kill(leader);
             }
         }
-        5 if world.machines[place].node.is_some() => {
-            world.copy_disk(place);
-            world.kill(place);
+        5 if sim.machines[index].node.is_some() => {
+            sim.back_up_disk(index);
+            sim.kill(index);
         }
-        // One directory at a time is lost or old: what a majority keeps is kept.
-        6 if world.machines[place].node.is_some() && world.is_whole() => {
-            world.kill(place);
-            match world.machines[place].copies.pop() {
-                Some(copy) if world.random(2) == 0 => world.machines[place].directory = copy,
-                _ => world.lose_disk(place),
+        // Only one directory at a time is lost or replaced by an older copy: what a majority stored stays
+        // stored.
+        6 if sim.machines[index].node.is_some() && sim.has_converged() => {
+            sim.kill(index);
+            match sim.machines[index].backups.pop() {
+                Some(copy) if sim.random(2) == 0 => sim.machines[index].directory = copy,
+                _ => sim.lose_disk(index),
             }
         }
-        7 => world.partition(|place| place % 2),
-        8 => world.partition(|place| place % 3),
-        // One way only.
+        7 => sim.partition(|index| index % 2),
+        8 => sim.partition(|index| index % 3),
+        // In one direction only.
         9 => {
-            let others = (0..world.machines.len()).map(|other| (other, place)).collect::<Vec<_>>();
-            world.cuts.extend(others);
+            let others = (0..sim.machines.len()).map(|other| (other, index)).collect::<Vec<_>>();
+            sim.blocked_paths.extend(others);
         }
         10 => {
-            if let Some(leader) = world.leader() {
-                world.stall(leader, 6_000);
+            if let Some(leader) = sim.leader() {
+                sim.stall(leader, 6_000);
             }
         }
         _ => {
-            if world.machines[place].node.is_none() {
-                world.start(place);
+            if sim.machines[index].node.is_none() {
+                sim.start(index);
             }
         }
     }
 }
 
-/// Asks for work now and then, and finishes what is out.
-fn staff(world: &mut World) {
-    let place = world.random(world.machines.len());
-    if world.machines[place].node.is_none() || world.machines[place].stalled_until > world.now {
+/// Requests maintenance at random, and finishes it for machines that are out.
+fn run_operator(sim: &mut Simulation) {
+    let index = sim.random(sim.machines.len());
+    if sim.machines[index].node.is_none() || sim.machines[index].stalled_until > sim.now {
         return;
     }
-    let out = (0..world.machines.len())
-        .find(|other| matches!(world.state_of(*other, place), Some(State::Out | State::Overdue)));
-    match (out, world.random(20)) {
-        (Some(out), 0..=5) => drop(world.finish(place, out)),
+    let out = (0..sim.machines.len())
+        .find(|other| matches!(sim.state_of(*other, index), Some(State::Out | State::Overdue)));
+    match (out, sim.random(20)) {
+        (Some(out), 0..=5) => drop(sim.finish(index, out)),
         (_, 6..=8) => {
-            let machine = world.random(world.machines.len());
-            drop(world.add(place, machine));
+            let machine = sim.random(sim.machines.len());
+            drop(sim.request_maintenance(index, machine));
         }
         _ => {}
     }
 }
 
 #[test]
-fn no_seed_has_two_machines_away_at_once_nor_two_that_write_one_stream() {
+fn no_seed_has_two_machines_out_at_once_or_two_owners_of_one_stream() {
     let seeds = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(SEEDS);
     let mut broken = Vec::new();
     let (mut left, mut settled) = (0, 0);
     let only = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok());
     for seed in only.map_or(1..=seeds, |seed| seed..=seed) {
-        let mut world = simulate(seed);
-        left += world.ever_left.len();
-        if let Some(first) = world.broken.first() {
-            broken.push(format!("seed {seed}: {first} ({} in all)", world.broken.len()));
-            println!("{}", world.logs());
+        let mut sim = simulate(seed);
+        left += sim.departures.len();
+        if let Some(first) = sim.violations.first() {
+            broken.push(format!("seed {seed}: {first} ({} in all)", sim.violations.len()));
+            println!("{}", sim.logs());
         }
-        let whole = world.until(60_000, World::is_whole);
+        let whole = sim.run_until(60_000, Simulation::has_converged);
         settled += u64::from(whole);
         if !whole {
-            println!("seed {seed} is not whole again: {}{}", world.show(), world.logs());
+            println!("seed {seed} does not converge: {}{}", sim.dump(), sim.logs());
         }
     }
     println!(
@@ -139,6 +140,6 @@
         broken.len()
     );
     assert!(broken.is_empty(), "{broken:#?}");
-    assert!(left > 0, "nothing was tried");
-    assert_eq!(settled, seeds, "fleets that were not whole again");
+    assert!(left > 0, "no machine left");
+    assert_eq!(settled, seeds, "clusters that did not converge again");
 }
