--- a/agent/src/fleet/copies.rs
+++ b/agent/src/fleet/copies.rs
@@ -121,7 +121,7 @@
         let writes = writes.map(|(stream, epoch)| StreamEpoch { stream: stream.0, epoch });
         let replicas = self.member.holder().replicas().filter(|(_, replica)| !replica.records().is_empty());
         let holds = replicas.map(|(stream, replica)| HeldReplica {
-            stream: StreamEpoch { stream: stream.0, epoch: replica.epoch() },
+            stream_epoch: StreamEpoch { stream: stream.0, epoch: replica.epoch() },
             primary: replica.primary().into(),
             primary_boot: replica.boot(),
             sequence: replica.sequence(),
