--- a/signalling/src/conformance.rs
+++ b/signalling/src/conformance.rs
@@ -136,7 +136,7 @@
 
 /// Parses all files of the suite.
 pub fn suite() -> Result<Vec<Case>, CaseError> {
-    let files = SUITE.iter().map(|(name, text)| read(name, text));
+    let files = SUITE.iter().map(|(name, text)| parse(name, text));
     Ok(files.collect::<Result<Vec<_>, _>>()?.into_iter().flatten().collect())
 }
 
@@ -144,7 +144,7 @@
 ///
 /// # Errors
 /// The first line with a syntax error.
-pub fn read(file: &str, text: &str) -> Result<Vec<Case>, CaseError> {
+pub fn parse(file: &str, text: &str) -> Result<Vec<Case>, CaseError> {
     let mut cases: Vec<Case> = Vec::new();
     let mut profile = String::from("default");
     let mut bodies = BTreeMap::new();
@@ -221,13 +221,16 @@
                 selection: circuit as u8 & 0x0f,
                 payload: &payload,
             };
-            return Ok(Step::Send(connection, data.message(ROUTING_CONTEXT, None).ok_or("too long")?));
+            return Ok(Step::Send(
+                connection,
+                data.message(ROUTING_CONTEXT, None).ok_or("the message is too long")?,
+            ));
         }
         let (kind, parameters) = parse_m3ua_message(rest)?;
         let builder = parameters
             .iter()
             .fold(MessageBuilder::new(kind), |builder, (tag, value)| builder.parameter(*tag, value));
-        return Ok(Step::Send(connection, builder.finish().ok_or("too long")?));
+        return Ok(Step::Send(connection, builder.finish().ok_or("the message is too long")?));
     }
     if let Some(rest) = text.strip_prefix('<') {
         let rest = rest.trim();
--- a/signalling/tests/conformance.rs
+++ b/signalling/tests/conformance.rs
@@ -315,7 +315,7 @@
 #[test]
 fn unmet_expectations_fail_the_case() {
     let text = "one | x | down | y | > ASPUP | < ASPDN-ACK\ntwo | x | down | y | > ASPUP | < ASPUP-ACK rc=1";
-    let cases = conformance::read("t", text).expect("well formed");
+    let cases = conformance::parse("t", text).expect("well formed");
     let outcomes: Vec<_> = cases.iter().map(|case| conformance::run(case, &mut Engine::new())).collect();
     assert!(outcomes.iter().all(|outcome| matches!(outcome, Outcome::Failed(_))), "{outcomes:?}");
 }
@@ -331,6 +331,6 @@
         ("@profile x\n@nothing", "t, line 2: unknown directive 'nothing'"),
     ];
     for (text, message) in table {
-        assert_eq!(conformance::read("t", text).expect_err("invalid").to_string(), message);
+        assert_eq!(conformance::parse("t", text).expect_err("invalid").to_string(), message);
     }
 }
--- a/signalling/tests/office.rs
+++ b/signalling/tests/office.rs
@@ -134,7 +134,7 @@
         4 => slot().prop_map(Step::Open),
         1 => slot().prop_map(Step::Close),
         8 => (slot(), prop::sample::select(vec![0u8, 0, 1, 2, 2, 2, 3]))
-            .prop_map(|(slot, what)| Step::Signal(slot, what)),
+            .prop_map(|(slot, kind)| Step::Signal(slot, kind)),
         8 => (slot(), 1..=4u16, kind).prop_map(|(slot, circuit, kind)| Step::Isup(slot, circuit, kind)),
         3 => Just(Step::SetUp),
         3 => any::<usize>().prop_map(Step::Answer),
@@ -246,10 +246,10 @@
         }
     }
 
-    fn signal(&mut self, slot: usize, what: u8) {
+    fn signal(&mut self, slot: usize, kind: u8) {
         let Some(from) = self.slots[slot] else { return };
         let context: &[u8] = if Self::is_server(slot) { &[0, 0, 0, 7] } else { &[0, 0, 0, 1] };
-        let bytes = match (Self::is_server(slot), what) {
+        let bytes = match (Self::is_server(slot), kind) {
             (false, 0) => message(3, 1, None),
             (false, 1) => message(3, 2, None),
             (false, 2) => message(4, 1, Some((6, context))),
@@ -261,7 +261,7 @@
         };
         if Self::is_server(slot) {
             // The expected state follows the server's message at once, whether the engine accepts it or not.
-            match what {
+            match kind {
                 2 => {
                     self.active.insert(from);
                 }
@@ -294,7 +294,7 @@
                     self.handle(Event::Closed(association));
                 }
             }
-            Step::Signal(slot, what) => self.signal(slot, what),
+            Step::Signal(slot, kind) => self.signal(slot, kind),
             Step::Isup(slot, circuit, kind) => {
                 if let Some(from) = self.slots[slot] {
                     let origin = if Self::is_server(slot) { SERVER_POINT_CODE } else { CLIENT_POINT_CODE };
