--- a/agent/src/conformance.rs
+++ b/agent/src/conformance.rs
@@ -94,7 +94,7 @@
         connection.send(&m3ua::message(Kind::AspUp, &[]));
         let context = conformance::CONTEXT.to_be_bytes();
         connection.send(&m3ua::message(Kind::AspActive, &[(tag::ROUTING_CONTEXT, &context)]));
-        let all = |why| Body::UnblockGroup(why, Range { more: 7, status: vec![true; 8] });
+        let all = |why| Body::UnblockGroup(why, Range { additional: 7, status: vec![true; 8] });
         let groups = [Blocking::Maintenance, Blocking::Hardware].map(|why| (1, all(why)));
         let resets = USED.into_iter().flat_map(|circuit| {
             // The confirmation is for a reset of the peer's that is still out.
--- a/agent/src/front/m3ua/config.rs
+++ b/agent/src/front/m3ua/config.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use steprelay_decisions::{Entry, Micros, Readiness, ServerId};
 use steprelay_settings::Site;
-use steprelay_signalling::circuits::{self, Controls, OnStart, Selection, Timers};
+use steprelay_signalling::circuits::{self, ControlledCircuits, OnStart, Selection, Timers};
 use steprelay_signalling::m3ua::{gateway, member, TrafficMode};
 use steprelay_signalling::office::{self, Destination};
 use steprelay_signalling::trie::{PrefixError, PrefixTrie};
@@ -369,7 +369,7 @@
 
     /// The same circuits, told of where standing calls are kept.
     fn kept(&self, circuits: &circuits::Config) -> circuits::Config {
-        circuits::Config { keeps: self.kept_calls.is_some(), ..circuits.clone() }
+        circuits::Config { reports_established: self.kept_calls.is_some(), ..circuits.clone() }
     }
 
     /// The place among the callers of a server that calls too.
@@ -514,10 +514,10 @@
             incoming: tenant.is_some(),
             outgoing: true,
             controls: match self.controls {
-                RawControls::All => Controls::All,
-                RawControls::Even => Controls::Even,
-                RawControls::Odd => Controls::Odd,
-                RawControls::None => Controls::None,
+                RawControls::All => ControlledCircuits::All,
+                RawControls::Even => ControlledCircuits::Even,
+                RawControls::Odd => ControlledCircuits::Odd,
+                RawControls::None => ControlledCircuits::None,
             },
             selection: match self.selection {
                 RawSelection::Sequential => Selection::Sequential,
@@ -525,7 +525,7 @@
                 RawSelection::OwnFirst => Selection::OwnFirst,
             },
             on_start: self.on_start.on_start(),
-            longest: self.longest,
+            max_message_len: self.longest,
             timers,
             ..circuits::Config::default()
         };
@@ -567,7 +567,7 @@
         assert_eq!(config.servers[0].addresses.len(), 2);
         assert_eq!((config.caller_place(0), config.caller_name(1)), (Some(1), "archive"));
         let office = config.office();
-        assert!(office.clients[0].keeps && office.servers[0].circuits.incoming);
+        assert!(office.clients[0].reports_established && office.servers[0].circuits.incoming);
     }
 
     #[test]
--- a/agent/src/front/m3ua/mod.rs
+++ b/agent/src/front/m3ua/mod.rs
@@ -15,7 +15,7 @@
 
 use steprelay_core::{BoundCall, ClientId, ReleaseCause, Request, Source, Verdict};
 use steprelay_decisions::{CallId, Cause as Noted, ListKind, Micros, Readiness, Report};
-use steprelay_signalling::cause::{Cause, Location, Meaning};
+use steprelay_signalling::cause::{Cause, Location, SetUpOutcome};
 use steprelay_signalling::circuits::CallRef;
 use steprelay_signalling::isup::{Continuity, SetUp};
 use steprelay_signalling::m3ua::gateway::{Association, Route};
@@ -450,13 +450,15 @@
                 call: CallId(call.0),
                 description: Rc::from(description),
             }),
-            Effect::Ended { server, call, stood, cause, location, congestion } => at(server).map(|link| {
-                let (cause, note) = told_cause(cause, location, stood);
-                let level = usize::from(congestion.unwrap_or_default()).min(2);
-                let hold_back = congestion.map(|_| HOLD_BACK_OF_RELEASE[level]);
-                let report = Report { hold_back, ..Report::default() };
-                Input::Ended { link, call: CallId(call.0), cause, note, report }
-            }),
+            Effect::Ended { server, call, was_established, cause, location, congestion } => {
+                at(server).map(|link| {
+                    let (cause, note) = told_cause(cause, location, was_established);
+                    let level = usize::from(congestion.unwrap_or_default()).min(2);
+                    let hold_back = congestion.map(|_| HOLD_BACK_OF_RELEASE[level]);
+                    let report = Report { hold_back, ..Report::default() };
+                    Input::Ended { link, call: CallId(call.0), cause, note, report }
+                })
+            }
             Effect::NoCircuit { server, call } => {
                 if let Some(link) = at(server) {
                     self.no_circuit(link, CallId(call.0));
@@ -571,15 +573,15 @@
     if stood {
         return (ReleaseCause(cause.0), Noted::Untold);
     }
-    match cause.meaning(location) {
-        Meaning::Normal => (ReleaseCause::NORMAL, Noted::Untold),
-        Meaning::NeverRan if cause == Cause::CONGESTION => {
+    match cause.outcome(location) {
+        SetUpOutcome::Normal => (ReleaseCause::NORMAL, Noted::Untold),
+        SetUpOutcome::NotProcessed if cause == Cause::CONGESTION => {
             (ReleaseCause::CONGESTION, Noted::ProcessorFull { wait: None })
         }
-        Meaning::NeverRan => (ReleaseCause::NO_CIRCUIT, Noted::NoLine),
-        Meaning::Busy => (ReleaseCause::USER_BUSY, Noted::NumberBusy),
-        Meaning::MayHaveRun => (ReleaseCause::TEMPORARY, Noted::Untold),
-        Meaning::Failed | Meaning::Malformed => (ReleaseCause::UNSPECIFIED, Noted::Untold),
+        SetUpOutcome::NotProcessed => (ReleaseCause::NO_CIRCUIT, Noted::NoLine),
+        SetUpOutcome::Busy => (ReleaseCause::USER_BUSY, Noted::NumberBusy),
+        SetUpOutcome::MaybeProcessed => (ReleaseCause::TEMPORARY, Noted::Untold),
+        SetUpOutcome::Failed | SetUpOutcome::Malformed => (ReleaseCause::UNSPECIFIED, Noted::Untold),
     }
 }
 
--- a/signalling/benches/codec.rs
+++ b/signalling/benches/codec.rs
@@ -1,17 +1,17 @@
-//! The codecs, a message at a time; and what a trunk holds in memory.
+//! Benchmarks of the codecs for single messages and of a trunk, and the memory use of a trunk.
 //!
 //! `cargo bench -p steprelay-signalling --bench codec`.
 
 use divan::{black_box, Bencher};
 use steprelay_signalling::cause::{Cause, Location};
 use steprelay_signalling::circuits::{CallRef, Config, Event, OnStart, Trunk};
-use steprelay_signalling::isup::{Body, Busy, CircuitState, Message, SetUp};
+use steprelay_signalling::isup::{Body, CallProcessing, CircuitState, Message, SetUp};
 use steprelay_signalling::m3ua::{self, tag, ProtocolData};
 use steprelay_signalling::HIGHEST_CIRCUIT;
 
 fn main() {
     println!("{} cores", std::thread::available_parallelism().map_or(0, usize::from));
-    memory();
+    print_memory_use();
     divan::main();
 }
 
@@ -33,7 +33,7 @@
 }
 
 fn body(name: &str) -> Body {
-    bodies().into_iter().find(|(known, _)| *known == name).expect("it is one of them").1
+    bodies().into_iter().find(|(known, _)| *known == name).expect("a known message").1
 }
 
 const NAMES: [&str; 4] = ["IAM", "ANM", "REL", "RLC"];
@@ -53,7 +53,7 @@
 fn data(user: &[u8]) -> Vec<u8> {
     let (service, network, selection) = (m3ua::ISUP, 2, 5);
     let data = ProtocolData { origin: 2001, destination: 1001, service, network, selection, user };
-    data.message(1, None).expect("it fits")
+    data.message(1, None).expect("the message fits")
 }
 
 #[divan::bench(args = NAMES)]
@@ -67,12 +67,12 @@
     let bytes = data(&Message::new(5, body(name)).to_bytes());
     bencher.bench(|| {
         let message = m3ua::Message::read(black_box(&bytes)).expect("well formed");
-        let data = ProtocolData::read(message.parameter(tag::PROTOCOL_DATA).expect("it is there"));
+        let data = ProtocolData::read(message.parameter(tag::PROTOCOL_DATA).expect("protocol data"));
         data.expect("well formed").user.len()
     });
 }
 
-fn outgoing(on_start: OnStart) -> Trunk {
+fn outgoing_trunk(on_start: OnStart) -> Trunk {
     let config =
         Config { equipped: Some((0, HIGHEST_CIRCUIT)), outgoing: true, on_start, ..Config::default() };
     let mut trunk = Trunk::new(config, 0);
@@ -80,11 +80,11 @@
     trunk
 }
 
-fn busy() -> Trunk {
-    let mut trunk = outgoing(OnStart::Trust);
+fn call_processing() -> Trunk {
+    let mut trunk = outgoing_trunk(OnStart::Trust);
     for circuit in 0..=HIGHEST_CIRCUIT {
         let call = CallRef(circuit.into());
-        let Body::SetUp(set_up) = body("IAM") else { unreachable!("it is a set-up") };
+        let Body::SetUp(set_up) = body("IAM") else { unreachable!("IAM is a set-up") };
         trunk.handle(0, Event::SetUp { call, set_up });
         trunk.handle(0, Event::Received { message: Message::new(circuit, body("ANM")), call: CallRef(0) });
         trunk.take_effects();
@@ -93,37 +93,38 @@
 }
 
 /// Resident memory of this process, in bytes.
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or_default() * 4096
 }
 
-/// Memory a circuit with a call that stands on it, of 16 peers with 4,096 each.
-fn memory() {
+/// Prints the memory per circuit with an established call, of 16 peers with 4,096 circuits each.
+fn print_memory_use() {
     const PEERS: usize = 16;
-    let before = resident();
-    let trunks: Vec<Trunk> = (0..PEERS).map(|_| busy()).collect();
-    let standing = trunks.iter().filter_map(|trunk| trunk.states().get("standing").copied()).sum::<usize>();
-    let after = resident();
+    let before = resident_bytes();
+    let trunks: Vec<Trunk> = (0..PEERS).map(|_| call_processing()).collect();
+    let established =
+        trunks.iter().filter_map(|trunk| trunk.states().get("standing").copied()).sum::<usize>();
+    let after = resident_bytes();
     let empty = std::mem::size_of::<steprelay_signalling::wheel::Wheel<u64>>();
     println!("an empty timer wheel takes {empty} bytes");
     println!(
-        "{standing} circuits with a call that stands: {} bytes of resident memory each",
-        (after - before) / standing.max(1)
+        "{established} circuits with an established call: {} bytes of resident memory each",
+        (after - before) / established.max(1)
     );
 }
 
-/// A call from its set-up to its release, on a trunk of 4,096 circuits with nothing else on it.
+/// A call from its set-up to its release, on an otherwise idle trunk of 4,096 circuits.
 #[divan::bench]
 fn trunk_call(bencher: Bencher) {
-    let mut trunk = outgoing(OnStart::Trust);
-    let Body::SetUp(set_up) = body("IAM") else { unreachable!("it is a set-up") };
+    let mut trunk = outgoing_trunk(OnStart::Trust);
+    let Body::SetUp(set_up) = body("IAM") else { unreachable!("IAM is a set-up") };
     let mut serial = 0;
     bencher.bench_local(|| {
         serial += 1;
         let call = CallRef(serial);
         trunk.handle(0, Event::SetUp { call, set_up: set_up.clone() });
-        let circuit = trunk.circuit(call).expect("one is free");
+        let circuit = trunk.circuit(call).expect("a circuit is free");
         let receive = |trunk: &mut Trunk, body| {
             trunk.handle(0, Event::Received { message: Message::new(circuit, body), call: CallRef(0) })
         };
@@ -134,30 +135,31 @@
     });
 }
 
-/// All of 4,096 circuits queried after a start, the peer answering at once.
+/// The query of 4,096 circuits after a start, with immediate answers of the peer.
 #[divan::bench]
 fn trunk_recover(bencher: Bencher) {
-    bencher.with_inputs(|| outgoing(OnStart::Query)).bench_local_values(|mut trunk| {
+    bencher.with_inputs(|| outgoing_trunk(OnStart::Query)).bench_local_values(|mut trunk| {
         loop {
             let effects = trunk.take_effects();
-            let asked: Vec<Message> = effects
+            let sent: Vec<Message> = effects
                 .into_iter()
                 .filter_map(|effect| match effect {
                     steprelay_signalling::circuits::Effect::Send(message) => Some(message),
                     _ => None,
                 })
                 .collect();
-            if asked.is_empty() {
+            if sent.is_empty() {
                 break;
             }
-            for Message { circuit, body } in asked {
+            for Message { circuit, body } in sent {
                 let Body::QueryGroup(range) = body else { continue };
                 let (maintenance, hardware) = Default::default();
-                let idle = CircuitState::Equipped { busy: Busy::Idle, maintenance, hardware };
+                let idle =
+                    CircuitState::Equipped { call_processing: CallProcessing::Idle, maintenance, hardware };
                 let answer = Body::QueryGroupResponse(range.clone(), vec![idle; range.circuits()]);
                 trunk.handle(0, Event::Received { message: Message::new(circuit, answer), call: CallRef(0) });
             }
         }
-        trunk.free()
+        trunk.free_count()
     });
 }
--- a/signalling/benches/structures.rs
+++ b/signalling/benches/structures.rs
@@ -1,6 +1,7 @@
-//! The timer wheel against a binary heap, and the prefix trie against a scan, on the same work.
+//! Benchmarks of the timer wheel against a binary heap, and of the prefix trie against a scan, with the same
+//! operations.
 //!
-//! `cargo bench -p steprelay-signalling --bench structures`. Ratios within a run are what counts.
+//! `cargo bench -p steprelay-signalling --bench structures`. Compare figures within one run only.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -16,13 +17,13 @@
 
 const SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 const SIZES: [usize; 4] = [10, 1_000, 100_000, 1_000_000];
-/// Operations of one measured round.
-const ROUND: usize = 1_000;
+/// The operations of one measured round.
+const OPERATIONS_PER_ROUND: usize = 1_000;
 
-/// A plain generator, so that both sides get the same draws.
-struct Draw(u64);
+/// A xorshift generator, so that both implementations get the same values.
+struct Random(u64);
 
-impl Draw {
+impl Random {
     fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -30,95 +31,97 @@
         self.0
     }
 
-    /// A timer's span: between 15 s and 60 s, as most of Q.764's are.
-    fn span(&mut self) -> i64 {
+    /// A timer duration between 15 s and 60 s, the range of most timers of Q.764.
+    fn duration(&mut self) -> i64 {
         15_000_000 + (self.next() % 45_000_000) as i64
     }
 }
 
-/// A timer is cancelled after so long on average, as a call's is when the call goes on.
-const HOLD: i64 = 8_000_000;
-/// Rounds of every timer before it is measured: what a heap keeps of cancelled ones has come up by then.
-const WARM: usize = 8;
+/// The average time in microseconds after which a timer is cancelled, as that of a call which proceeds.
+const MEAN_HOLD_US: i64 = 8_000_000;
+/// Operations per timer before the measurement: by then the heap has reached the cancelled entries it holds.
+const WARM_UP_OPERATIONS_PER_TIMER: usize = 8;
 
-/// Sets a timer and cancels another, as each call does that is answered in time; a few run out by themselves.
+/// Sets a timer and cancels another, as a call does that is answered in time; a few timers expire.
 #[divan::bench(args = SIZES, max_time = 3)]
 fn wheel_set_and_cancel(bencher: Bencher, live: usize) {
-    let (mut draw, mut now, mut wheel) = (Draw(SEED), 0, Wheel::new(0));
-    let mut keys: Vec<_> = (0..live).map(|place| wheel.set(draw.span(), place)).collect();
+    let (mut random, mut now, mut wheel) = (Random(SEED), 0, Wheel::new(0));
+    let mut keys: Vec<_> = (0..live).map(|index| wheel.set(random.duration(), index)).collect();
     let mut round = |operations: usize| {
         for operation in 0..operations {
-            let place = draw.next() as usize % live;
-            wheel.cancel(keys[place]);
-            keys[place] = wheel.set(now + draw.span(), place);
-            now += HOLD / live as i64;
-            while let Some(place) = wheel.expire(now) {
-                keys[place] = wheel.set(now + draw.span(), place);
+            let index = random.next() as usize % live;
+            wheel.cancel(keys[index]);
+            keys[index] = wheel.set(now + random.duration(), index);
+            now += MEAN_HOLD_US / live as i64;
+            while let Some(index) = wheel.expire(now) {
+                keys[index] = wheel.set(now + random.duration(), index);
             }
             std::hint::black_box(operation);
         }
     };
-    round(WARM * live);
-    bencher.bench_local(|| round(ROUND));
+    round(WARM_UP_OPERATIONS_PER_TIMER * live);
+    bencher.bench_local(|| round(OPERATIONS_PER_ROUND));
 }
 
-/// The same with a heap, which finds what was cancelled when it comes up.
+/// The same with a heap, which drops cancelled entries as they reach its top.
 #[divan::bench(args = SIZES, max_time = 3)]
 fn heap_set_and_cancel(bencher: Bencher, live: usize) {
-    let (mut draw, mut now, mut heap) = (Draw(SEED), 0, BinaryHeap::new());
+    let (mut random, mut now, mut heap) = (Random(SEED), 0, BinaryHeap::new());
     let mut serial = 0u64;
     let mut cancelled = HashSet::new();
     let mut keys: Vec<u64> = (0..live)
-        .map(|place| {
+        .map(|index| {
             serial += 1;
-            heap.push(Reverse((draw.span(), serial, place)));
+            heap.push(Reverse((random.duration(), serial, index)));
             serial
         })
         .collect();
     let mut round = |operations: usize| {
         for operation in 0..operations {
-            let place = draw.next() as usize % live;
-            cancelled.insert(keys[place]);
+            let index = random.next() as usize % live;
+            cancelled.insert(keys[index]);
             serial += 1;
-            keys[place] = serial;
-            heap.push(Reverse((now + draw.span(), serial, place)));
-            now += HOLD / live as i64;
+            keys[index] = serial;
+            heap.push(Reverse((now + random.duration(), serial, index)));
+            now += MEAN_HOLD_US / live as i64;
             while heap.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
-                let Some(Reverse((_, key, place))) = heap.pop() else { break };
+                let Some(Reverse((_, key, index))) = heap.pop() else { break };
                 if !cancelled.remove(&key) {
                     serial += 1;
-                    keys[place] = serial;
-                    heap.push(Reverse((now + draw.span(), serial, place)));
+                    keys[index] = serial;
+                    heap.push(Reverse((now + random.duration(), serial, index)));
                 }
             }
             std::hint::black_box(operation);
         }
     };
-    round(WARM * live);
-    bencher.bench_local(|| round(ROUND));
+    round(WARM_UP_OPERATIONS_PER_TIMER * live);
+    bencher.bench_local(|| round(OPERATIONS_PER_ROUND));
 }
 
 const PREFIXES: [usize; 4] = [1, 10, 1_000, 100_000];
 
 fn prefixes(count: usize) -> Vec<(String, u32)> {
-    let mut draw = Draw(SEED);
+    let mut random = Random(SEED);
     let mut found = std::collections::BTreeMap::new();
     while found.len() < count {
-        let digits = 2 + draw.next() % 7;
-        let prefix = (0..digits).map(|_| char::from(b'0' + (draw.next() % 10) as u8)).collect::<String>();
+        let digits = 2 + random.next() % 7;
+        let prefix = (0..digits).map(|_| char::from(b'0' + (random.next() % 10) as u8)).collect::<String>();
         found.insert(prefix, found.len() as u32);
     }
     found.into_iter().collect()
 }
 
 fn numbers() -> Vec<String> {
-    let mut draw = Draw(SEED ^ 1);
-    (0..ROUND).map(|_| (0..11).map(|_| char::from(b'0' + (draw.next() % 10) as u8)).collect()).collect()
+    let mut random = Random(SEED ^ 1);
+    (0..OPERATIONS_PER_ROUND)
+        .map(|_| (0..11).map(|_| char::from(b'0' + (random.next() % 10) as u8)).collect())
+        .collect()
 }
 
 #[divan::bench(args = PREFIXES)]
 fn trie_longest(bencher: Bencher, count: usize) {
-    let trie = PrefixTrie::new(prefixes(count)).expect("digits, each once");
+    let trie = PrefixTrie::new(prefixes(count)).expect("distinct prefixes of digits");
     let numbers = numbers();
     bencher.bench_local(|| numbers.iter().filter(|number| trie.longest(number).is_some()).count());
 }
@@ -129,8 +132,8 @@
     let numbers = numbers();
     bencher.bench_local(|| {
         let longest = |number: &String| {
-            let fitting = prefixes.iter().filter(|(prefix, _)| number.starts_with(prefix));
-            fitting.max_by_key(|(prefix, _)| prefix.len()).map(|(_, value)| *value)
+            let matching = prefixes.iter().filter(|(prefix, _)| number.starts_with(prefix));
+            matching.max_by_key(|(prefix, _)| prefix.len()).map(|(_, value)| *value)
         };
         numbers.iter().filter(|number| longest(number).is_some()).count()
     });
--- a/signalling/src/cause.rs
+++ b/signalling/src/cause.rs
@@ -1,10 +1,11 @@
-//! Release causes (Q.850), in one table: what each says of the call that it ends.
+//! Release causes (Q.850), and what each cause means for the set-up that it ends.
 
 /// A cause value of Q.850, 0 to 127.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Cause(pub u8);
 
-/// Who gives a cause (Q.850 2.2.3), as far as it is told apart here.
+/// The location that generated a cause (Q.850 2.2.3). Codes without a variant count as beyond an interworking
+/// point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Location {
@@ -18,20 +19,20 @@
     BeyondInterworking = 10,
 }
 
-/// What a release before the answer says of the set-up.
+/// The outcome of a set-up that is released before its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
-    /// The call is over as somebody wanted.
+pub enum SetUpOutcome {
+    /// The call was cleared on request.
     Normal,
-    /// There was no room for it, and it never ran: trying elsewhere is harmless.
-    NeverRan,
-    /// The called one is busy; elsewhere it is too.
+    /// The set-up was not processed, for lack of capacity: another attempt elsewhere is safe.
+    NotProcessed,
+    /// The called party is busy, whichever way the call takes.
     Busy,
-    /// It broke on its way, and may have run.
-    MayHaveRun,
-    /// It was looked at and failed; elsewhere it fails too.
+    /// The set-up failed on its way, and may have been processed.
+    MaybeProcessed,
+    /// The set-up was processed and failed; another attempt elsewhere would fail too.
     Failed,
-    /// Nobody could make sense of it.
+    /// The set-up was malformed.
     Malformed,
 }
 
@@ -56,26 +57,30 @@
     pub const PROTOCOL: Self = Cause(111);
     pub const INTERWORKING: Self = Cause(127);
 
-    /// What this cause says; `location` tells whether a network or the user gave it. A value that the table
-    /// does not hold counts as the last one of its class (Q.850 2.2.5).
-    pub fn meaning(self, location: Location) -> Meaning {
+    /// The outcome that this cause stands for; `location` tells whether a network or the user gave the
+    /// cause. A value that is not in the table counts as the last one of its class (Q.850 2.2.5).
+    pub fn outcome(self, location: Location) -> SetUpOutcome {
         let known = TABLE.iter().find(|row| row.0 == self.0);
-        let &(_, meaning, _) =
+        let &(_, outcome, _) =
             known.or_else(|| TABLE.iter().find(|row| row.0 == self.class_default())).unwrap_or(&TABLE[0]);
-        // "No circuit" of a user is about the user's own equipment, behind whatever the call passed.
-        match (meaning, location) {
-            (Meaning::NeverRan, Location::User) if self != Cause::NO_CIRCUIT && self != Cause::CONGESTION => {
-                Meaning::Failed
+        // A lack of resources that the user reports, other than "no circuit" and congestion, concerns the
+        // user's own equipment: the call has reached it.
+        match (outcome, location) {
+            (SetUpOutcome::NotProcessed, Location::User)
+                if self != Cause::NO_CIRCUIT && self != Cause::CONGESTION =>
+            {
+                SetUpOutcome::Failed
             }
-            (meaning, _) => meaning,
+            (outcome, _) => outcome,
         }
     }
 
+    /// The name of the cause value, or "other".
     pub fn name(self) -> &'static str {
         TABLE.iter().find(|row| row.0 == self.0).map_or("other", |row| row.2)
     }
 
-    /// The "unspecified" of its class.
+    /// The "unspecified" cause of this cause's class.
     fn class_default(self) -> u8 {
         match self.0 >> 4 & 7 {
             0 | 1 => 31,
@@ -90,6 +95,7 @@
 }
 
 impl Location {
+    /// Decodes the location from the low four bits of an octet.
     pub fn from_code(code: u8) -> Self {
         match code & 0x0f {
             0 => Location::User,
@@ -104,54 +110,54 @@
     }
 }
 
-/// Cause values by number, with what they say and their names (Q.850 table 1).
-pub const TABLE: &[(u8, Meaning, &str)] = &[
-    (1, Meaning::Failed, "unallocated number"),
-    (2, Meaning::Failed, "no route to transit network"),
-    (3, Meaning::Failed, "no route to destination"),
-    (4, Meaning::Failed, "send special information tone"),
-    (5, Meaning::Failed, "misdialled trunk prefix"),
-    (8, Meaning::MayHaveRun, "pre-emption"),
-    (9, Meaning::MayHaveRun, "pre-emption, circuit reserved"),
-    (16, Meaning::Normal, "normal call clearing"),
-    (17, Meaning::Busy, "user busy"),
-    (18, Meaning::Failed, "no user responding"),
-    (19, Meaning::Failed, "no answer from user"),
-    (20, Meaning::Failed, "subscriber absent"),
-    (21, Meaning::Failed, "call rejected"),
-    (22, Meaning::Failed, "number changed"),
-    (25, Meaning::Failed, "exchange routing error"),
-    (27, Meaning::MayHaveRun, "destination out of order"),
-    (28, Meaning::Malformed, "address incomplete"),
-    (29, Meaning::Failed, "facility rejected"),
-    (31, Meaning::Failed, "normal, unspecified"),
-    (34, Meaning::NeverRan, "no circuit available"),
-    (38, Meaning::MayHaveRun, "network out of order"),
-    (41, Meaning::MayHaveRun, "temporary failure"),
-    (42, Meaning::NeverRan, "switching equipment congestion"),
-    (43, Meaning::Failed, "access information discarded"),
-    (44, Meaning::NeverRan, "requested circuit not available"),
-    (46, Meaning::NeverRan, "precedence call blocked"),
-    (47, Meaning::Failed, "resource unavailable, unspecified"),
-    (50, Meaning::Failed, "requested facility not subscribed"),
-    (55, Meaning::Failed, "incoming calls barred"),
-    (57, Meaning::Failed, "bearer capability not authorised"),
-    (58, Meaning::Failed, "bearer capability not available"),
-    (63, Meaning::Failed, "service not available, unspecified"),
-    (65, Meaning::Failed, "bearer capability not implemented"),
-    (79, Meaning::Failed, "service not implemented, unspecified"),
-    (87, Meaning::Failed, "user not member of group"),
-    (88, Meaning::Failed, "incompatible destination"),
-    (95, Meaning::Malformed, "invalid message, unspecified"),
-    (96, Meaning::Malformed, "mandatory element missing"),
-    (97, Meaning::Malformed, "message type not implemented"),
-    (99, Meaning::Malformed, "parameter not implemented"),
-    (100, Meaning::Malformed, "invalid element contents"),
-    // The peer's own timer ran out: it had begun.
-    (102, Meaning::MayHaveRun, "recovery on timer expiry"),
-    (103, Meaning::Malformed, "parameter passed on, not implemented"),
-    (111, Meaning::Malformed, "protocol error, unspecified"),
-    (127, Meaning::Failed, "interworking, unspecified"),
+/// Cause values in ascending order, with outcomes and names (Q.850 table 1).
+pub const TABLE: &[(u8, SetUpOutcome, &str)] = &[
+    (1, SetUpOutcome::Failed, "unallocated number"),
+    (2, SetUpOutcome::Failed, "no route to transit network"),
+    (3, SetUpOutcome::Failed, "no route to destination"),
+    (4, SetUpOutcome::Failed, "send special information tone"),
+    (5, SetUpOutcome::Failed, "misdialled trunk prefix"),
+    (8, SetUpOutcome::MaybeProcessed, "pre-emption"),
+    (9, SetUpOutcome::MaybeProcessed, "pre-emption, circuit reserved"),
+    (16, SetUpOutcome::Normal, "normal call clearing"),
+    (17, SetUpOutcome::Busy, "user busy"),
+    (18, SetUpOutcome::Failed, "no user responding"),
+    (19, SetUpOutcome::Failed, "no answer from user"),
+    (20, SetUpOutcome::Failed, "subscriber absent"),
+    (21, SetUpOutcome::Failed, "call rejected"),
+    (22, SetUpOutcome::Failed, "number changed"),
+    (25, SetUpOutcome::Failed, "exchange routing error"),
+    (27, SetUpOutcome::MaybeProcessed, "destination out of order"),
+    (28, SetUpOutcome::Malformed, "address incomplete"),
+    (29, SetUpOutcome::Failed, "facility rejected"),
+    (31, SetUpOutcome::Failed, "normal, unspecified"),
+    (34, SetUpOutcome::NotProcessed, "no circuit available"),
+    (38, SetUpOutcome::MaybeProcessed, "network out of order"),
+    (41, SetUpOutcome::MaybeProcessed, "temporary failure"),
+    (42, SetUpOutcome::NotProcessed, "switching equipment congestion"),
+    (43, SetUpOutcome::Failed, "access information discarded"),
+    (44, SetUpOutcome::NotProcessed, "requested circuit not available"),
+    (46, SetUpOutcome::NotProcessed, "precedence call blocked"),
+    (47, SetUpOutcome::Failed, "resource unavailable, unspecified"),
+    (50, SetUpOutcome::Failed, "requested facility not subscribed"),
+    (55, SetUpOutcome::Failed, "incoming calls barred"),
+    (57, SetUpOutcome::Failed, "bearer capability not authorised"),
+    (58, SetUpOutcome::Failed, "bearer capability not available"),
+    (63, SetUpOutcome::Failed, "service not available, unspecified"),
+    (65, SetUpOutcome::Failed, "bearer capability not implemented"),
+    (79, SetUpOutcome::Failed, "service not implemented, unspecified"),
+    (87, SetUpOutcome::Failed, "user not member of group"),
+    (88, SetUpOutcome::Failed, "incompatible destination"),
+    (95, SetUpOutcome::Malformed, "invalid message, unspecified"),
+    (96, SetUpOutcome::Malformed, "mandatory element missing"),
+    (97, SetUpOutcome::Malformed, "message type not implemented"),
+    (99, SetUpOutcome::Malformed, "parameter not implemented"),
+    (100, SetUpOutcome::Malformed, "invalid element contents"),
+    // The peer's own timer expired, so it had begun to process the set-up.
+    (102, SetUpOutcome::MaybeProcessed, "recovery on timer expiry"),
+    (103, SetUpOutcome::Malformed, "parameter passed on, not implemented"),
+    (111, SetUpOutcome::Malformed, "protocol error, unspecified"),
+    (127, SetUpOutcome::Failed, "interworking, unspecified"),
 ];
 
 #[cfg(test)]
@@ -159,30 +165,30 @@
     use super::*;
 
     #[test]
-    fn every_value_has_a_meaning_and_the_table_is_in_order() {
+    fn every_value_has_an_outcome_and_the_table_is_in_order() {
         assert!(TABLE.windows(2).all(|pair| pair[0].0 < pair[1].0));
         for value in 0..128 {
             for code in 0..16 {
-                let meaning = Cause(value).meaning(Location::from_code(code));
-                assert!(value != 16 || meaning == Meaning::Normal);
+                let outcome = Cause(value).outcome(Location::from_code(code));
+                assert!(value != 16 || outcome == SetUpOutcome::Normal);
             }
         }
-        // Unknown ones count as the unspecified of their class.
-        assert_eq!(Cause(45).meaning(Location::Transit), Meaning::Failed);
-        assert_eq!(Cause(110).meaning(Location::Transit), Meaning::Malformed);
+        // An unknown value counts as the unspecified cause of its class.
+        assert_eq!(Cause(45).outcome(Location::Transit), SetUpOutcome::Failed);
+        assert_eq!(Cause(110).outcome(Location::Transit), SetUpOutcome::Malformed);
     }
 
     #[test]
-    fn what_never_ran_is_told_by_who_says_so() {
+    fn whether_a_set_up_was_processed_depends_on_the_location() {
         let table = [
-            (Cause::NO_CIRCUIT, Location::User, Meaning::NeverRan),
-            (Cause::REQUESTED_CIRCUIT, Location::Transit, Meaning::NeverRan),
-            (Cause::REQUESTED_CIRCUIT, Location::User, Meaning::Failed),
-            (Cause::CONGESTION, Location::BeyondInterworking, Meaning::NeverRan),
-            (Cause::TIMER, Location::Transit, Meaning::MayHaveRun),
+            (Cause::NO_CIRCUIT, Location::User, SetUpOutcome::NotProcessed),
+            (Cause::REQUESTED_CIRCUIT, Location::Transit, SetUpOutcome::NotProcessed),
+            (Cause::REQUESTED_CIRCUIT, Location::User, SetUpOutcome::Failed),
+            (Cause::CONGESTION, Location::BeyondInterworking, SetUpOutcome::NotProcessed),
+            (Cause::TIMER, Location::Transit, SetUpOutcome::MaybeProcessed),
         ];
-        for (cause, location, meaning) in table {
-            assert_eq!(cause.meaning(location), meaning, "{cause:?} {location:?}");
+        for (cause, location, outcome) in table {
+            assert_eq!(cause.outcome(location), outcome, "{cause:?} {location:?}");
         }
     }
 }
--- a/signalling/src/circuits/mod.rs
+++ b/signalling/src/circuits/mod.rs
@@ -1,11 +1,11 @@
-//! The circuits of one peer: every message, wish and timer in every state (Q.764).
+//! State machine of the circuits of one peer (Q.764): messages, local requests and timers in every state.
 //!
-//! A circuit carries one call. Either side seizes it with a set-up; the side that releases it waits for the
-//! confirmation before it is idle again. Circuits outlive associations, as the calls on them do. What both
-//! sides hold to be true of a circuit is brought together by resets, blocking and queries, for one circuit
-//! or a group.
+//! A circuit carries one call. Either side seizes it with a set-up. The side that releases the call waits for
+//! the release complete message before the circuit is idle again. Circuits and their calls outlive the
+//! association that carries the signalling. Resets, blocking and queries, for one circuit or for a group,
+//! reconcile the circuit states of both sides.
 //!
-//! [`Trunk::handle`] takes what has happened; the table in the tests shows what follows in each state.
+//! [`Trunk::handle`] processes an event. The snapshot of the tests lists the reaction in each state.
 
 mod messages;
 mod supervision;
@@ -22,14 +22,14 @@
 pub use supervision::GroupAction;
 pub use timers::{Timer, Timers};
 
-/// A call, as whoever uses the circuits names it.
+/// A call reference, chosen by the user of the trunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallRef(pub u64);
 
-/// Which circuits of a trunk that both sides seize are ours where both do so at once (Q.764 2.9.1.4: the
-/// exchange with the higher point code controls the even ones).
+/// The circuits of a bothway trunk that this side controls: on a dual seizure its call takes precedence
+/// there (Q.764 2.9.1.4: the exchange with the higher point code controls the even circuits).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Controls {
+pub enum ControlledCircuits {
     #[default]
     All,
     Even,
@@ -37,322 +37,291 @@
     None,
 }
 
-impl Controls {
-    pub fn holds(self, circuit: Circuit) -> bool {
+impl ControlledCircuits {
+    pub fn contains(self, circuit: Circuit) -> bool {
         match self {
-            Controls::All => true,
-            Controls::Even => circuit.is_multiple_of(2),
-            Controls::Odd => !circuit.is_multiple_of(2),
-            Controls::None => false,
+            ControlledCircuits::All => true,
+            ControlledCircuits::Even => circuit.is_multiple_of(2),
+            ControlledCircuits::Odd => !circuit.is_multiple_of(2),
+            ControlledCircuits::None => false,
         }
     }
 }
 
-/// The order in which idle circuits are seized.
+/// The selection method: the order in which idle circuits are seized.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Selection {
-    /// The lowest.
+    /// The circuit with the lowest code.
     #[default]
     Sequential,
-    /// The one that has been idle for the longest time.
+    /// The circuit that has been idle for the longest time.
     MostIdle,
-    /// Those that we control first, and of them the lowest: fewest are seized by both sides.
+    /// Circuits that this side controls first, the lowest code first among them. This order gives the
+    /// fewest dual seizures.
     OwnFirst,
 }
 
-/// What is done about circuits of which nothing is known since our start.
+/// How circuits whose state is unknown after the start of this process are recovered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OnStart {
-    /// They are taken for idle.
+    /// The circuits are assumed to be idle.
     #[default]
     Trust,
-    /// The peer is asked (CQM); calls that stand go on.
+    /// The circuits are queried (CQM); established calls continue.
     Query,
-    /// They are reset (GRS); calls that stand end.
+    /// The circuits are reset (GRS); established calls end.
     Reset,
 }
 
+/// Settings of a trunk.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The circuits that there are; all that can be, for none.
+    /// First and last equipped circuit; `None` stands for all circuit identification codes.
     pub equipped: Option<(Circuit, Circuit)>,
-    /// Whether the peer may make calls, and whether we do.
+    /// Whether the peer may set up calls.
     pub incoming: bool,
+    /// Whether this side may set up calls.
     pub outgoing: bool,
-    pub controls: Controls,
+    pub controls: ControlledCircuits,
     pub selection: Selection,
     pub on_start: OnStart,
     pub timers: Timers,
-    /// Whether called numbers may come digit by digit.
+    /// Whether the peer may send called numbers in overlap (SAM).
     pub overlap: bool,
-    /// The longest message that the peer takes, where set-ups are to be segmented.
-    pub longest: Option<usize>,
-    /// Messages for groups that may be unanswered at once.
-    pub groups_at_once: usize,
-    /// Whether it is told which calls stand, to be kept for after a crash.
-    pub keeps: bool,
+    /// The longest message in bytes that the peer accepts; longer set-ups are segmented.
+    pub max_message_len: Option<usize>,
+    /// The most group messages that may be unacknowledged at once.
+    pub max_pending_groups: usize,
+    /// Whether [`Effect::EstablishedChanged`] reports established calls, which are persisted for a restart.
+    pub reports_established: bool,
 }
 
 impl Default for Config {
-    /// A trunk on which the peer calls, on whatever circuits it likes.
+    /// An incoming trunk on which the peer may seize every circuit.
     fn default() -> Self {
         Config {
             equipped: None,
             incoming: true,
             outgoing: false,
-            controls: Controls::All,
+            controls: ControlledCircuits::All,
             selection: Selection::Sequential,
             on_start: OnStart::Trust,
             timers: Timers::default(),
             overlap: false,
-            longest: None,
-            groups_at_once: 4,
-            keeps: false,
+            max_message_len: None,
+            max_pending_groups: 4,
+            reports_established: false,
         }
     }
 }
 
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message of the peer. `call` names the call that begins with it, if one does.
-    Received {
-        message: Message,
-        call: CallRef,
-    },
-    /// A call of ours is to be set up.
-    SetUp {
-        call: CallRef,
-        set_up: SetUp,
-    },
-    /// A call of the peer's rings, or stands.
-    Progress {
-        call: CallRef,
-    },
-    Answer {
-        call: CallRef,
-        description: String,
-    },
-    /// A call is over, whoever made it and however far it had come.
-    Release {
-        call: CallRef,
-        cause: Cause,
-        congestion: Option<u8>,
-    },
-    /// A call of the peer's from before our start is over; its circuit is known by other means.
-    Recall {
-        circuit: Circuit,
-        cause: Cause,
-    },
-    /// The peer can be reached, or cannot be reached any more.
+    /// A message of the peer. `call` is the reference for the call that it may set up.
+    Received { message: Message, call: CallRef },
+    /// Sets up an outgoing call.
+    SetUp { call: CallRef, set_up: SetUp },
+    /// An incoming call proceeds.
+    Progress { call: CallRef },
+    /// An incoming call is answered.
+    Answer { call: CallRef, description: String },
+    /// Releases a call of either direction, in any state.
+    Release { call: CallRef, cause: Cause, congestion: Option<u8> },
+    /// Releases an incoming call from before the start of this process, by its circuit: the trunk has no
+    /// record of the call.
+    ReleaseCircuit { circuit: Circuit, cause: Cause },
+    /// The peer is available.
     Up,
+    /// The peer is unavailable.
     Down,
-    /// The peer's process was replaced: no circuit of it carries anything.
+    /// Another process has taken the peer's place: none of its circuits carries a call.
     Replaced,
-    /// Operators take circuits out of service, or back into it.
+    /// An operator takes circuits (first to last) out of service.
     Block(Circuit, Circuit, Blocking),
+    /// An operator returns circuits (first to last) to service.
     Unblock(Circuit, Circuit, Blocking),
-    /// The peer is asked what it holds to be true of all circuits.
+    /// Queries the peer for the states of all circuits.
     Audit,
-    /// More digits are wanted for an overlap call, or its number is complete.
-    Number {
-        circuit: Circuit,
-        complete: bool,
-    },
+    /// The result of [`Effect::AnalyseNumber`]: the called number is complete, or needs more digits.
+    NumberAnalysed { circuit: Circuit, complete: bool },
+    /// The time of [`Trunk::next_timeout`] has come.
     Timeout,
 }
 
+/// An output of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
+    /// Sends a message.
     Send(Message),
-    /// A message in two parts, or one that is written already.
+    /// Sends an encoded message: a set-up or one of its segments.
     SendBytes(Circuit, Vec<u8>),
-    /// The peer wants a call.
-    Offer {
-        call: CallRef,
-        circuit: Circuit,
-        set_up: SetUp,
-    },
-    /// Digits so far: [`Event::Number`] tells whether they do.
-    Analyse {
-        circuit: Circuit,
-        number: String,
-    },
-    /// A call of the peer's is over, answered or not, and nothing is owed to it.
-    Abandoned {
-        call: CallRef,
-        cause: Cause,
-    },
-    /// A call of ours goes on, stands, or is over, answered or not.
-    Progress {
-        call: CallRef,
-    },
-    Answered {
-        call: CallRef,
-        description: String,
-    },
+    /// An incoming call.
+    Offer { call: CallRef, circuit: Circuit, set_up: SetUp },
+    /// The digits received so far; [`Event::NumberAnalysed`] returns whether the number is complete.
+    AnalyseNumber { circuit: Circuit, number: String },
+    /// An incoming call has ended, answered or not; no release is needed for it.
+    Abandoned { call: CallRef, cause: Cause },
+    /// An outgoing call proceeds.
+    Progress { call: CallRef },
+    /// An outgoing call is answered.
+    Answered { call: CallRef, description: String },
+    /// An outgoing call has ended, answered or not.
     Ended {
         call: CallRef,
-        /// Whether it had stood.
-        stood: bool,
+        /// Whether the call was answered before.
+        was_established: bool,
         cause: Cause,
         location: Location,
         congestion: Option<u8>,
     },
-    /// No circuit could be had for a call of ours: it never left.
-    NoCircuit {
-        call: CallRef,
-    },
-    /// A call stands on a circuit, or stands there no more; told where [`Config::keeps`] asks for it.
-    Stands {
-        circuit: Circuit,
-        call: Option<CallRef>,
-    },
-    /// A circuit is idle.
-    Idle {
-        circuit: Circuit,
-    },
-    /// A message made no sense in the state of its circuit, and nothing came of it.
-    Disregarded {
-        circuit: Circuit,
-        kind: u8,
-    },
-    /// Operators should know.
-    Alert {
-        circuit: Circuit,
-        what: Alert,
-    },
+    /// No circuit was available for an outgoing call; no set-up was sent.
+    NoCircuit { call: CallRef },
+    /// The established call on a circuit, `None` once it has ended; reported with
+    /// [`Config::reports_established`].
+    EstablishedChanged { circuit: Circuit, call: Option<CallRef> },
+    /// A circuit has become idle.
+    Idle { circuit: Circuit },
+    /// A message was discarded as unexpected in the state of its circuit.
+    Disregarded { circuit: Circuit, kind: u8 },
+    /// A condition that operators should know of.
+    Alert { circuit: Circuit, alert: Alert },
 }
 
-/// What operators should know of a circuit (Q.764: "the maintenance system is alerted").
+/// A condition of a circuit that operators should know of (Q.764: "the maintenance system is alerted").
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Alert {
-    #[error("a release is not confirmed (T5), it is reset")]
-    ReleaseUnconfirmed,
-    #[error("a reset is not confirmed (T17)")]
-    ResetUnconfirmed,
-    #[error("blocking is not confirmed (T13)")]
-    BlockUnconfirmed,
-    #[error("unblocking is not confirmed (T15)")]
-    UnblockUnconfirmed,
-    #[error("a group's reset, blocking or unblocking is not confirmed (T19, T21, T23)")]
-    GroupUnconfirmed,
-    #[error("a query is not answered (T28)")]
+    #[error("release not acknowledged (T5); resetting")]
+    ReleaseUnacknowledged,
+    #[error("reset not acknowledged (T17)")]
+    ResetUnacknowledged,
+    #[error("blocking not acknowledged (T13)")]
+    BlockUnacknowledged,
+    #[error("unblocking not acknowledged (T15)")]
+    UnblockUnacknowledged,
+    #[error("group reset, blocking or unblocking not acknowledged (T19, T21, T23)")]
+    GroupUnacknowledged,
+    #[error("group query not answered (T28)")]
     QueryUnanswered,
-    #[error("the peer has not equipped it")]
+    #[error("not equipped at the peer")]
     Unequipped,
-    #[error("its continuity check has failed")]
+    #[error("continuity check failed")]
     ContinuityFailed,
-    #[error("the peer has blocked it")]
+    #[error("blocked by the peer")]
     Blocked,
-    #[error("both sides held different things to be true of it, it is reset")]
-    Differs,
-    #[error("a message of ours confuses the peer")]
+    #[error("states differ between both sides; resetting")]
+    StateMismatch,
+    #[error("the peer reports confusion about a message sent to it (CFN)")]
     Confusion,
 }
 
-/// What a set-up of the peer's still lacks.
+/// The parts that are missing from an incoming set-up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Lacks {
+struct MissingParts {
     segment: bool,
     continuity: bool,
     digits: bool,
 }
 
-impl Lacks {
-    fn nothing(self) -> bool {
-        self == Lacks::default()
+impl MissingParts {
+    fn is_empty(self) -> bool {
+        self == MissingParts::default()
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
     Idle,
-    /// Nothing is known of it since our start.
+    /// The state is unknown since the start of this process.
     Unknown,
-    /// A call from before our start is on it, as the peer says.
-    Foreign,
-    /// The peer's set-up is not whole yet.
-    Gathering {
+    /// The peer reports a call from before the start of this process.
+    BusyAtPeer,
+    /// The incoming set-up is not complete yet.
+    IncompleteSetUp {
         call: CallRef,
         set_up: Box<SetUp>,
-        lacks: Lacks,
+        missing: MissingParts,
     },
+    /// The continuity check of the incoming set-up failed.
     ContinuityFailed,
-    /// The peer checks the circuit.
+    /// The peer checks the continuity of the circuit (CCR).
     Checking,
-    /// The peer's call waits for its answer; whether it was told that it proceeds.
+    /// The incoming call waits for its answer; `proceeding` tells whether ACM was sent.
     Offered {
         call: CallRef,
         proceeding: bool,
     },
-    /// The peer's call stands.
-    Answered {
+    /// The incoming call is established.
+    IncomingEstablished {
         call: CallRef,
     },
-    /// Our set-up has left, and nothing has come back.
-    Sent {
+    /// The outgoing set-up was sent; no backward message has arrived.
+    SetUpSent {
         call: CallRef,
         set_up: Box<SetUp>,
     },
+    /// The outgoing call waits for its answer.
     Proceeding {
         call: CallRef,
     },
-    /// Our call stands.
-    Standing {
+    /// The outgoing call is established.
+    OutgoingEstablished {
         call: CallRef,
     },
-    /// Released by us, and not confirmed.
+    /// Released by this side; RLC has not arrived.
     Releasing {
         cause: Cause,
         congestion: Option<u8>,
     },
+    /// Reset by this side; the acknowledgement has not arrived.
     Resetting,
-    /// The peer does not have it.
+    /// The peer has not equipped the circuit.
     Unequipped,
 }
 
 impl State {
-    /// Its name in tables, MIB and logs.
+    /// The name in tables, the MIB and logs.
     fn name(&self) -> &'static str {
         match self {
             State::Idle => "idle",
             State::Unknown => "unknown",
-            State::Foreign => "foreign",
-            State::Gathering { .. } => "gathering",
+            State::BusyAtPeer => "foreign",
+            State::IncompleteSetUp { .. } => "gathering",
             State::ContinuityFailed => "continuity failed",
             State::Checking => "checking",
             State::Offered { .. } => "offered",
-            State::Answered { .. } => "answered",
-            State::Sent { .. } => "sent",
+            State::IncomingEstablished { .. } => "answered",
+            State::SetUpSent { .. } => "sent",
             State::Proceeding { .. } => "proceeding",
-            State::Standing { .. } => "standing",
+            State::OutgoingEstablished { .. } => "standing",
             State::Releasing { .. } => "releasing",
             State::Resetting => "resetting",
             State::Unequipped => "unequipped",
         }
     }
 
-    /// The call that stands on it.
-    fn standing(&self) -> Option<CallRef> {
+    /// The established call on the circuit.
+    fn established_call(&self) -> Option<CallRef> {
         match self {
-            State::Answered { call } | State::Standing { call } => Some(*call),
+            State::IncomingEstablished { call } | State::OutgoingEstablished { call } => Some(*call),
             _ => None,
         }
     }
 
-    /// The call on it, and whether the peer made it. One that is not whole has been shown to nobody.
+    /// The call on the circuit, and whether it is incoming. A call whose set-up is incomplete is left out: it
+    /// was not offered yet.
     fn call(&self) -> Option<(CallRef, bool)> {
         match self {
-            State::Offered { call, .. } | State::Answered { call } => Some((*call, true)),
-            State::Sent { call, .. } | State::Proceeding { call } | State::Standing { call } => {
-                Some((*call, false))
-            }
+            State::Offered { call, .. } | State::IncomingEstablished { call } => Some((*call, true)),
+            State::SetUpSent { call, .. }
+            | State::Proceeding { call }
+            | State::OutgoingEstablished { call } => Some((*call, false)),
             _ => None,
         }
     }
 }
 
-/// Whether a circuit is blocked, by maintenance and by hardware failure.
+/// Whether one side has blocked a circuit, for maintenance and for hardware failure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Blocked {
     maintenance: bool,
@@ -364,126 +333,141 @@
         self.maintenance || self.hardware
     }
 
-    fn set(&mut self, why: Blocking, on: bool) {
-        match why {
+    fn set(&mut self, blocking: Blocking, on: bool) {
+        match blocking {
             Blocking::Maintenance => self.maintenance = on,
             Blocking::Hardware => self.hardware = on,
         }
     }
 }
 
-/// A circuit that is not plainly idle.
+/// The state of a circuit with its blocking and its timers.
 #[derive(Debug)]
-struct Line {
+struct CircuitRecord {
     state: State,
+    /// Blocking by this side.
     local: Blocked,
+    /// Blocking by the peer.
     remote: Blocked,
-    /// A call on it is suspended.
+    /// The call on the circuit is suspended.
     suspended: bool,
-    /// BLO or UBL is out.
-    blocking: bool,
-    /// The timers that run for it: two of its call, one for suspension or continuity, two of maintenance.
-    timers: [Option<Key>; timers::PLACES],
+    /// BLO or UBL was sent and is not acknowledged.
+    blocking_pending: bool,
+    /// The running timers: two of the call, one for suspension or continuity, two for blocking.
+    timers: [Option<Key>; timers::TIMER_SLOTS],
 }
 
-impl Default for Line {
+impl Default for CircuitRecord {
     fn default() -> Self {
-        Line {
+        CircuitRecord {
             state: State::Idle,
             local: Blocked::default(),
             remote: Blocked::default(),
             suspended: false,
-            blocking: false,
-            timers: [None; timers::PLACES],
+            blocking_pending: false,
+            timers: [None; timers::TIMER_SLOTS],
         }
     }
 }
 
-/// What has happened on a trunk so far.
+/// Counters of a trunk since its creation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub seized_by_peer: u64,
     pub seized_by_us: u64,
-    /// Calls of ours for which there was no circuit.
+    /// Outgoing calls for which no circuit was available.
     pub overflowed: u64,
-    /// Circuits that both sides seized at once.
+    /// Dual seizures: circuits that both sides seized at once.
     pub dual_seizures: u64,
     /// Circuits that either side has reset.
     pub resets: u64,
-    /// Messages that made no sense in the state of their circuit.
+    /// Messages that were discarded as unexpected in the state of their circuit.
     pub disregarded: u64,
     pub alerts: u64,
 }
 
+/// The circuits towards one peer.
 #[derive(Debug)]
 pub struct Trunk {
     config: Config,
-    /// Those that are not plainly idle.
-    lines: BTreeMap<Circuit, Line>,
+    /// Circuits that are not in the default state: idle, without blocking, pending messages and timers.
+    records: BTreeMap<Circuit, CircuitRecord>,
     calls: BTreeMap<CallRef, Circuit>,
-    /// Idle circuits that we may seize, in the order in which we do.
+    /// Idle circuits that this side may seize, by rank: the order in which it seizes them.
     free: BTreeSet<(u64, Circuit)>,
+    /// The rank of each circuit in `free`.
     ranks: BTreeMap<Circuit, u64>,
-    next_rank: u64,
-    wheel: Wheel<timers::Due>,
-    /// Calls of before our start that nobody here has seen begin.
+    /// The last number given to a rank or a group.
+    last_number: u64,
+    wheel: Wheel<timers::TimerTarget>,
+    /// Calls that were restored from before the start of this process; no other part has seen them begin.
     restored: BTreeSet<CallRef>,
-    groups: Vec<supervision::Group>,
-    waiting: VecDeque<supervision::GroupAction>,
-    up: bool,
-    /// Whether the circuits have been seen to since our start.
-    started: bool,
+    /// Group messages that are not acknowledged.
+    pending_groups: Vec<supervision::PendingGroup>,
+    /// Group messages that wait for one of the former to be acknowledged.
+    queued_groups: VecDeque<supervision::GroupAction>,
+    is_up: bool,
+    /// Whether the recovery of circuits in an unknown state has begun.
+    recovery_started: bool,
     counts: Counts,
     effects: Vec<Effect>,
 }
 
 impl Trunk {
+    /// Creates the trunk of a peer that is not available yet.
     pub fn new(config: Config, now: Micros) -> Self {
         let mut trunk = Trunk {
-            lines: BTreeMap::new(),
+            records: BTreeMap::new(),
             calls: BTreeMap::new(),
             free: BTreeSet::new(),
             ranks: BTreeMap::new(),
-            next_rank: 0,
+            last_number: 0,
             wheel: Wheel::new(now),
             restored: BTreeSet::new(),
-            groups: Vec::new(),
-            waiting: VecDeque::new(),
-            up: false,
-            started: false,
+            pending_groups: Vec::new(),
+            queued_groups: VecDeque::new(),
+            is_up: false,
+            recovery_started: false,
             counts: Counts::default(),
             effects: Vec::new(),
             config,
         };
         if trunk.config.on_start != OnStart::Trust {
             for circuit in trunk.equipped() {
-                trunk.lines.insert(circuit, Line { state: State::Unknown, ..Line::default() });
+                trunk
+                    .records
+                    .insert(circuit, CircuitRecord { state: State::Unknown, ..CircuitRecord::default() });
             }
         }
         for circuit in trunk.equipped().filter(|_| trunk.config.outgoing).collect::<Vec<_>>() {
-            trunk.settle(circuit);
+            trunk.update_indexes(circuit);
         }
         trunk
     }
 
-    /// Takes up a call that stood before our start; `theirs` tells that the peer made it. It is not told as
-    /// new.
-    pub fn restore(&mut self, circuit: Circuit, call: CallRef, theirs: bool) {
+    /// Restores a call that was established before the start of this process, incoming or outgoing. The call
+    /// is not reported as newly established.
+    pub fn restore(&mut self, circuit: Circuit, call: CallRef, is_incoming: bool) {
         if !self.equipped().contains(&circuit) {
             return;
         }
-        let state = if theirs { State::Answered { call } } else { State::Standing { call } };
-        let keeps = std::mem::replace(&mut self.config.keeps, false);
-        self.enter(circuit, state);
-        self.config.keeps = keeps;
+        let state = if is_incoming {
+            State::IncomingEstablished { call }
+        } else {
+            State::OutgoingEstablished { call }
+        };
+        let reports_established = std::mem::replace(&mut self.config.reports_established, false);
+        self.set_state(circuit, state);
+        self.config.reports_established = reports_established;
         self.restored.insert(call);
     }
 
-    /// What has to be done since it was last asked.
+    /// Returns the effects since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
+    /// The time at which [`Event::Timeout`] is due; `None` while no timer runs.
     pub fn next_timeout(&self) -> Option<Micros> {
         self.wheel.next()
     }
@@ -492,29 +476,29 @@
         self.counts
     }
 
-    /// How many circuits are in each state that any is in, without those that are plainly idle.
+    /// The number of circuits in each state. Idle circuits are left out unless they are blocked.
     pub fn states(&self) -> BTreeMap<&'static str, usize> {
         let mut states = BTreeMap::new();
-        for line in self.lines.values() {
-            let blocked = line.local.any() || line.remote.any();
-            let name = if blocked && line.state == State::Idle { "blocked" } else { line.state.name() };
+        for record in self.records.values() {
+            let blocked = record.local.any() || record.remote.any();
+            let name = if blocked && record.state == State::Idle { "blocked" } else { record.state.name() };
             *states.entry(name).or_default() += 1;
         }
         states
     }
 
-    /// The circuit of a call.
+    /// The circuit of a call, while the call lasts.
     pub fn circuit(&self, call: CallRef) -> Option<Circuit> {
         self.calls.get(&call).copied()
     }
 
-    /// Whether a call could begin on a circuit.
+    /// Whether the circuit carries no call and no release or reset is pending; it may be blocked.
     pub fn is_idle(&self, circuit: Circuit) -> bool {
-        self.lines.get(&circuit).is_none_or(|line| line.state == State::Idle)
+        self.records.get(&circuit).is_none_or(|record| record.state == State::Idle)
     }
 
-    /// How many idle circuits we may seize.
-    pub fn free(&self) -> usize {
+    /// The number of idle circuits that this side may seize.
+    pub fn free_count(&self) -> usize {
         self.free.len()
     }
 
@@ -523,13 +507,14 @@
         first..=last
     }
 
+    /// Processes an event. [`Trunk::take_effects`] returns what follows.
     pub fn handle(&mut self, now: Micros, event: Event) {
         match event {
-            Event::Received { message, call } => self.received(now, message, call),
-            Event::SetUp { call, set_up } => self.set_up(now, call, set_up),
+            Event::Received { message, call } => self.handle_message(now, message, call),
+            Event::SetUp { call, set_up } => self.seize(now, call, set_up),
             Event::Progress { call } => {
                 let circuit = self.circuit(call);
-                if let Some((circuit, State::Offered { proceeding, .. })) = self.line_of(circuit) {
+                if let Some((circuit, State::Offered { proceeding, .. })) = self.state_mut(circuit) {
                     if !std::mem::replace(proceeding, true) {
                         self.send(circuit, Body::AddressComplete { description: String::new() });
                     }
@@ -541,94 +526,96 @@
                     self.release(now, circuit, cause, congestion);
                 }
             }
-            Event::Recall { circuit, cause } => {
-                if matches!(self.state(circuit), State::Idle | State::Unknown | State::Foreign) {
+            Event::ReleaseCircuit { circuit, cause } => {
+                if matches!(self.state(circuit), State::Idle | State::Unknown | State::BusyAtPeer) {
                     self.release(now, circuit, cause, None);
                 }
             }
             Event::Up => self.peer_up(now),
             Event::Down => self.peer_down(now),
-            Event::Replaced => self.replaced(),
-            Event::Block(first, last, why) => self.block(now, first, last, why, true),
-            Event::Unblock(first, last, why) => self.block(now, first, last, why, false),
-            Event::Audit => self.audit(now),
-            Event::Number { circuit, complete } => self.number(circuit, complete),
+            Event::Replaced => self.handle_replaced(),
+            Event::Block(first, last, blocking) => self.set_local_blocking(now, first, last, blocking, true),
+            Event::Unblock(first, last, blocking) => {
+                self.set_local_blocking(now, first, last, blocking, false)
+            }
+            Event::Audit => self.query_all(now),
+            Event::NumberAnalysed { circuit, complete } => self.number_analysed(circuit, complete),
             Event::Timeout => {
                 while let Some(due) = self.wheel.expire(now) {
-                    self.due(now, due);
+                    self.timer_expired(now, due);
                 }
             }
         }
     }
 
     fn state(&self, circuit: Circuit) -> &State {
-        self.lines.get(&circuit).map_or(&State::Idle, |line| &line.state)
+        self.records.get(&circuit).map_or(&State::Idle, |record| &record.state)
     }
 
-    fn line(&mut self, circuit: Circuit) -> &mut Line {
-        self.lines.entry(circuit).or_default()
+    fn record_mut(&mut self, circuit: Circuit) -> &mut CircuitRecord {
+        self.records.entry(circuit).or_default()
     }
 
-    fn line_of(&mut self, circuit: Option<Circuit>) -> Option<(Circuit, &mut State)> {
+    fn state_mut(&mut self, circuit: Option<Circuit>) -> Option<(Circuit, &mut State)> {
         let circuit = circuit?;
-        self.lines.get_mut(&circuit).map(|line| (circuit, &mut line.state))
+        self.records.get_mut(&circuit).map(|record| (circuit, &mut record.state))
     }
 
     fn send(&mut self, circuit: Circuit, body: Body) {
         self.effects.push(Effect::Send(Message { circuit, body }));
     }
 
-    fn alert(&mut self, circuit: Circuit, what: Alert) {
+    fn alert(&mut self, circuit: Circuit, alert: Alert) {
         self.counts.alerts += 1;
-        self.effects.push(Effect::Alert { circuit, what });
+        self.effects.push(Effect::Alert { circuit, alert });
     }
 
-    /// Brings a circuit into another state: its call timers stop, and the index of free ones follows.
-    fn enter(&mut self, circuit: Circuit, state: State) {
-        let line = self.lines.entry(circuit).or_default();
-        let before = std::mem::replace(&mut line.state, state);
-        line.suspended = false;
-        let idle = line.state == State::Idle;
-        let stands = line.state.standing();
-        if let Some((call, _)) = before.call().filter(|call| line.state.call() != Some(*call)) {
+    /// Sets the state of a circuit, stops its call timers and updates the indexes of calls and free circuits.
+    fn set_state(&mut self, circuit: Circuit, state: State) {
+        let record = self.records.entry(circuit).or_default();
+        let before = std::mem::replace(&mut record.state, state);
+        record.suspended = false;
+        let idle = record.state == State::Idle;
+        let established = record.state.established_call();
+        if let Some((call, _)) = before.call().filter(|call| record.state.call() != Some(*call)) {
             self.calls.remove(&call);
             self.restored.remove(&call);
         }
-        if self.config.keeps && before.standing() != stands {
-            self.effects.push(Effect::Stands { circuit, call: stands });
+        if self.config.reports_established && before.established_call() != established {
+            self.effects.push(Effect::EstablishedChanged { circuit, call: established });
         }
-        if let Some((call, _)) = self.lines[&circuit].state.call() {
+        if let Some((call, _)) = self.records[&circuit].state.call() {
             self.calls.insert(call, circuit);
         }
         self.stop_call_timers(circuit);
-        self.settle(circuit);
+        self.update_indexes(circuit);
         if idle && before != State::Idle {
             self.effects.push(Effect::Idle { circuit });
         }
     }
 
-    /// Forgets a circuit that is plainly idle, and keeps the index of those that may be seized.
-    fn settle(&mut self, circuit: Circuit) {
-        let (idle, plain) = match self.lines.get(&circuit) {
+    /// Drops the record of a circuit in the default state, and updates the index of free circuits.
+    fn update_indexes(&mut self, circuit: Circuit) {
+        let (idle, is_default) = match self.records.get(&circuit) {
             None => (true, true),
-            Some(line) => {
-                let idle = line.state == State::Idle && !line.local.any() && !line.remote.any();
-                (idle, idle && !line.blocking && line.timers.iter().all(Option::is_none))
+            Some(record) => {
+                let idle = record.state == State::Idle && !record.local.any() && !record.remote.any();
+                (idle, idle && !record.blocking_pending && record.timers.iter().all(Option::is_none))
             }
         };
-        if plain {
-            self.lines.remove(&circuit);
+        if is_default {
+            self.records.remove(&circuit);
         }
         if !self.config.outgoing {
             return;
         }
         match (idle, self.ranks.get(&circuit).copied()) {
             (true, None) => {
-                self.next_rank += 1;
+                self.last_number += 1;
                 let rank = match self.config.selection {
                     Selection::Sequential => 0,
-                    Selection::MostIdle => self.next_rank,
-                    Selection::OwnFirst => u64::from(!self.config.controls.holds(circuit)),
+                    Selection::MostIdle => self.last_number,
+                    Selection::OwnFirst => u64::from(!self.config.controls.contains(circuit)),
                 };
                 self.ranks.insert(circuit, rank);
                 self.free.insert((rank, circuit));
@@ -641,66 +628,72 @@
         }
     }
 
-    /// Seizes a circuit for a call of ours, or tells that there is none.
-    fn set_up(&mut self, now: Micros, call: CallRef, set_up: SetUp) {
-        let parts = |circuit| match self.config.longest {
-            Some(longest) => Message::segments(circuit, &set_up, longest),
+    /// Seizes a circuit for an outgoing call, or reports that none is available.
+    fn seize(&mut self, now: Micros, call: CallRef, set_up: SetUp) {
+        let encode = |circuit| match self.config.max_message_len {
+            Some(max_message_len) => Message::segments(circuit, &set_up, max_message_len),
             None => Some(vec![Message::new(circuit, Body::SetUp(set_up.clone())).to_bytes()]),
         };
-        let seized = self.free.first().copied().filter(|_| self.up);
-        let Some((circuit, parts)) = seized.and_then(|(_, circuit)| Some((circuit, parts(circuit)?))) else {
+        let seized = self.free.first().copied().filter(|_| self.is_up);
+        let Some((circuit, parts)) = seized.and_then(|(_, circuit)| Some((circuit, encode(circuit)?))) else {
             self.counts.overflowed += 1;
             self.effects.push(Effect::NoCircuit { call });
             return;
         };
         self.counts.seized_by_us += 1;
-        self.enter(circuit, State::Sent { call, set_up: Box::new(set_up) });
+        self.set_state(circuit, State::SetUpSent { call, set_up: Box::new(set_up) });
         self.effects.extend(parts.into_iter().map(|bytes| Effect::SendBytes(circuit, bytes)));
-        self.start(now, circuit, Timer::T7);
+        self.start_timer(now, circuit, Timer::T7);
     }
 
-    /// The peer's call stands.
+    /// Answers an incoming call; ACM goes first where it was not sent.
     fn answer(&mut self, call: CallRef, description: String) {
         let Some(circuit) = self.circuit(call) else { return };
         let State::Offered { proceeding, .. } = *self.state(circuit) else { return };
-        self.enter(circuit, State::Answered { call });
+        self.set_state(circuit, State::IncomingEstablished { call });
         if !proceeding {
             self.send(circuit, Body::AddressComplete { description: String::new() });
         }
         self.send(circuit, Body::Answer { description });
     }
 
-    /// Releases a circuit, whatever is on it, and waits for the confirmation.
+    /// Releases a circuit in any state, and waits for RLC.
     fn release(&mut self, now: Micros, circuit: Circuit, cause: Cause, congestion: Option<u8>) {
-        self.enter(circuit, State::Releasing { cause, congestion });
+        self.set_state(circuit, State::Releasing { cause, congestion });
         self.send(circuit, Body::Release { cause, location: Location::BeyondInterworking, congestion });
-        self.start(now, circuit, Timer::T1);
-        self.start(now, circuit, Timer::T5);
+        self.start_timer(now, circuit, Timer::T1);
+        self.start_timer(now, circuit, Timer::T5);
     }
 
-    /// Resets a circuit, and waits for the confirmation.
+    /// Resets a circuit, and waits for the acknowledgement.
     fn reset(&mut self, now: Micros, circuit: Circuit) {
         self.counts.resets += 1;
-        self.enter(circuit, State::Resetting);
+        self.set_state(circuit, State::Resetting);
         self.send(circuit, Body::ResetCircuit);
-        self.start(now, circuit, Timer::T16);
-        self.start(now, circuit, Timer::T17);
+        self.start_timer(now, circuit, Timer::T16);
+        self.start_timer(now, circuit, Timer::T17);
     }
 
-    /// Tells whoever uses it that the call on a circuit is over, without a word to the peer.
-    fn drop_call(&mut self, circuit: Circuit, cause: Cause, location: Location, congestion: Option<u8>) {
-        let stood = matches!(self.state(circuit), State::Standing { .. });
+    /// Reports the end of the call on a circuit to the user of the trunk. Sends nothing to the peer.
+    fn report_call_end(
+        &mut self,
+        circuit: Circuit,
+        cause: Cause,
+        location: Location,
+        congestion: Option<u8>,
+    ) {
+        let was_established = matches!(self.state(circuit), State::OutgoingEstablished { .. });
         match self.state(circuit).call() {
             Some((call, true)) => self.effects.push(Effect::Abandoned { call, cause }),
             Some((call, false)) => {
-                self.effects.push(Effect::Ended { call, stood, cause, location, congestion })
+                self.effects.push(Effect::Ended { call, was_established, cause, location, congestion })
             }
             None => {}
         }
     }
 
-    /// The same, where the reason is on this side.
-    fn break_call(&mut self, circuit: Circuit) {
-        self.drop_call(circuit, Cause::TEMPORARY, Location::BeyondInterworking, None);
+    /// Reports that the call on a circuit failed, with a cause and location of this side.
+    fn report_call_failure(&mut self, circuit: Circuit) {
+        self.report_call_end(circuit, Cause::TEMPORARY, Location::BeyondInterworking, None);
     }
 }
--- a/signalling/src/isup/mod.rs
+++ b/signalling/src/isup/mod.rs
@@ -1,7 +1,7 @@
-//! ISUP messages (Q.763): calls, circuits and groups of circuits.
+//! Codec of ISUP messages (Q.763) for calls, circuits and circuit groups.
 //!
-//! A description goes as user-to-user information, in as many parameters as it takes, and a called number
-//! that is no string of address signals as generic digits. Both come out as they went in.
+//! A description is encoded as user-to-user information, in as many parameters as needed. A called number
+//! that is not a string of address signals is encoded as generic digits. Decoding restores both unchanged.
 
 use crate::cause::{Cause, Location};
 use crate::trie::DIGITS;
@@ -44,7 +44,7 @@
 }
 
 /// Parameter names of the optional part (Q.763 table 5).
-mod name {
+mod parameter {
     pub const END: u8 = 0x00;
     pub const FORWARD_INDICATORS: u8 = 0x08;
     pub const USER_TO_USER: u8 = 0x20;
@@ -53,89 +53,92 @@
     pub const GENERIC_DIGITS: u8 = 0xc1;
 }
 
-/// The protocol discriminator for IA5 characters (Q.931 table 4-26), and the most that one parameter takes
-/// behind it.
+/// The protocol discriminator for IA5 characters (Q.931 table 4-26).
 const IA5: u8 = 0x04;
-const USER_PART: usize = 128;
-/// Generic digits in IA5, of a national type; how many fit one parameter.
+/// The most octets of user information in one parameter, after the discriminator.
+const MAX_USER_INFORMATION_OCTETS: usize = 128;
+/// Encoding scheme and type of generic digits: IA5, national use.
 const IA5_DIGITS: u8 = 0x40;
-const MOST_DIGITS: usize = 254;
-/// Address signals that fit a called party number comfortably.
-const MOST_SIGNALS: usize = 64;
+/// The most generic digits in one parameter.
+const MAX_GENERIC_DIGITS: usize = 254;
+/// The most address signals in a called party number; longer numbers are sent as generic digits.
+const MAX_ADDRESS_SIGNALS: usize = 64;
 /// International number, ISDN numbering plan.
 const NATURE_AND_PLAN: (u8, u8) = (0x04, 0x10);
 /// Simple segmentation indicator: more follows in SGM (Q.763 3.38).
 const MORE_FOLLOWS: u8 = 0x04;
-/// Circuits that one message of a group may name (Q.764 2.9.3 and 2.8.2): the range goes to 31, and a
-/// blocking message to 255 of which 32 are marked.
-pub const GROUP: usize = 32;
+/// The most circuits that a group message may affect (Q.764 2.9.3 and 2.8.2): the range of resets and queries
+/// goes to 31, that of blocking messages to 255 with at most 32 circuits marked.
+pub const MAX_GROUP_CIRCUITS: usize = 32;
 
-/// The continuity check that a set-up asks for (Q.763 3.35).
+/// The continuity check indicator of a set-up (Q.763 3.35).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Continuity {
     #[default]
     NotRequired,
-    /// On this circuit.
+    /// Required on this circuit.
     Required,
-    /// On an earlier circuit of the connection.
+    /// Performed on a previous circuit of the connection.
     Performed,
 }
 
-/// Why circuits are blocked as a group (Q.763 3.13).
+/// The type of a group's blocking (Q.763 3.13): for maintenance or for hardware failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Blocking {
     Maintenance,
     Hardware,
 }
 
-/// A set-up. Its description may still lack what SGM brings, and its number what SAM brings.
+/// A set-up (IAM). SGM may add to its description, and SAM to its number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SetUp {
     pub category: u8,
     pub continuity: Continuity,
     pub number: String,
     pub description: String,
-    /// SGM brings the rest.
+    /// Whether SGM follows with the rest of the description.
     pub segmented: bool,
 }
 
-/// What is asked for one circuit after the other, from the message's own on.
+/// Range and status (Q.763 3.43): consecutive circuits, from the message's own circuit on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Range {
-    /// How many circuits there are besides the first.
-    pub more: u8,
-    /// A bit for each, where the message has them.
+    /// The number of circuits after the first.
+    pub additional: u8,
+    /// The status bit of each circuit; empty in messages without status.
     pub status: Vec<bool>,
 }
 
-/// The state of a circuit as CQR tells it (Q.763 3.14).
+/// The circuit state indicator in CQR (Q.763 3.14).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitState {
     Transient,
     Unequipped,
-    /// Equipped: what call is on it, and which ends have blocked it, by maintenance and by hardware failure.
+    /// Equipped, with the call processing state and the ends that have blocked the circuit, for maintenance
+    /// and for hardware failure.
     Equipped {
-        busy: Busy,
+        call_processing: CallProcessing,
         maintenance: Ends,
         hardware: Ends,
     },
 }
 
+/// The call processing state of a circuit (Q.763 3.14).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Busy {
+pub enum CallProcessing {
     Incoming,
     Outgoing,
     Idle,
 }
 
-/// Which ends of a circuit something holds for, seen from the one that tells.
+/// The ends of a circuit that have blocked it, as seen by the sender of the message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ends {
     pub local: bool,
     pub remote: bool,
 }
 
-/// What is to be done with a message of an unknown type (Q.763 3.33).
+/// Message compatibility information: how to treat a message of an unknown type (Q.763 3.33).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Compatibility {
     pub release: bool,
@@ -143,6 +146,7 @@
     pub discard: bool,
 }
 
+/// The type and the parameters of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
     SetUp(SetUp),
@@ -154,7 +158,7 @@
     ContinuityResult {
         success: bool,
     },
-    /// Address complete; with it the set-up is proceeding.
+    /// Address complete (ACM): the set-up is proceeding.
     AddressComplete {
         description: String,
     },
@@ -196,26 +200,27 @@
     Segment {
         description: String,
     },
-    /// A type that is not known here, with what its sender wants done with it.
+    /// A type that this codec does not know, with the sender's compatibility information.
     Unknown {
         kind: u8,
         compatibility: Option<Compatibility>,
     },
 }
 
+/// A message for a circuit, or for a group that begins with the circuit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     pub circuit: Circuit,
     pub body: Body,
 }
 
-/// What is wrong with a message. The circuit is told where it could be read.
+/// Why a message cannot be decoded; with its circuit, where that could be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
-    #[error("too short for a circuit and a type")]
-    Short,
-    #[error("the parameters of type {kind:#04x} do not fit the message")]
-    Parameters { circuit: Circuit, kind: u8 },
+pub enum DecodeError {
+    #[error("message too short for a circuit identification code and a message type")]
+    Truncated,
+    #[error("invalid parameters in a message of type {kind:#04x}")]
+    InvalidParameters { circuit: Circuit, kind: u8 },
 }
 
 impl Message {
@@ -223,17 +228,19 @@
         Message { circuit, body }
     }
 
-    /// Reads a message.
+    /// Decodes a message. An unknown message type is decoded as [`Body::Unknown`].
     ///
     /// # Errors
-    /// It is cut short, or a pointer or length in it leads out of it. A type that is not known is none.
-    pub fn read(bytes: &[u8]) -> Result<Self, Unreadable> {
-        let (&[low, high, kind], body) = bytes.split_first_chunk().ok_or(Unreadable::Short)?;
+    /// The message is truncated, a parameter in it is invalid, or a pointer or length leads out of the
+    /// message.
+    pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
+        let (&[low, high, kind], body) = bytes.split_first_chunk().ok_or(DecodeError::Truncated)?;
         let circuit = u16::from_le_bytes([low, high]) & HIGHEST_CIRCUIT;
-        let body = Body::read(kind, body).ok_or(Unreadable::Parameters { circuit, kind })?;
+        let body = Body::read(kind, body).ok_or(DecodeError::InvalidParameters { circuit, kind })?;
         Ok(Message { circuit, body })
     }
 
+    /// Encodes the message.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = (self.circuit & HIGHEST_CIRCUIT).to_le_bytes().to_vec();
         bytes.push(self.body.kind());
@@ -241,14 +248,15 @@
         bytes
     }
 
-    /// A set-up in two parts where one of this many bytes would not hold it; `None` where two do not either.
-    pub fn segments(circuit: Circuit, set_up: &SetUp, most: usize) -> Option<Vec<Vec<u8>>> {
+    /// Encodes a set-up in messages of at most `max_len` bytes: in one if it fits, else in two segments.
+    /// Returns `None` if it does not fit into two.
+    pub fn segments(circuit: Circuit, set_up: &SetUp, max_len: usize) -> Option<Vec<Vec<u8>>> {
         let whole = Message::new(circuit, Body::SetUp(set_up.clone())).to_bytes();
-        if whole.len() <= most {
+        if whole.len() <= max_len {
             return Some(vec![whole]);
         }
-        // The first takes as much as fits, cut between characters.
-        let room = |len: usize| {
+        // The first segment takes as much of the description as fits, cut at a character boundary.
+        let segments_at = |len: usize| {
             let cut = (0..=len.min(set_up.description.len()))
                 .rev()
                 .find(|at| set_up.description.is_char_boundary(*at))?;
@@ -260,13 +268,14 @@
         };
         let cut = (0..set_up.description.len())
             .rev()
-            .find(|&len| room(len).is_some_and(|(first, _)| first.len() <= most))?;
-        let (first, rest) = room(cut)?;
-        (rest.len() <= most).then(|| vec![first, rest])
+            .find(|&len| segments_at(len).is_some_and(|(first, _)| first.len() <= max_len))?;
+        let (first, rest) = segments_at(cut)?;
+        (rest.len() <= max_len).then(|| vec![first, rest])
     }
 }
 
 impl Body {
+    /// The message type code.
     pub fn kind(&self) -> u8 {
         match self {
             Body::SetUp(_) => kind::IAM,
@@ -306,28 +315,28 @@
     }
 
     fn read(kind: u8, body: &[u8]) -> Option<Self> {
-        let description = |pointer| optional(body, pointer).map(|parts| parts.description);
+        let description = |pointer| read_optional(body, pointer).map(|parts| parts.description);
         Some(match kind {
-            kind::IAM => Body::SetUp(set_up(body)?),
-            kind::SAM => Body::SubsequentAddress { digits: signals(variable(body, 0)?, 1)? },
-            kind::INR => fixed(body, 2, Body::InformationRequest)?,
-            kind::INF => fixed(body, 2, Body::Information)?,
+            kind::IAM => Body::SetUp(read_set_up(body)?),
+            kind::SAM => Body::SubsequentAddress { digits: unpack_digits(read_variable(body, 0)?, 1)? },
+            kind::INR => require_octets(body, 2, Body::InformationRequest)?,
+            kind::INF => require_octets(body, 2, Body::Information)?,
             kind::COT => Body::ContinuityResult { success: body.first()? & 1 == 1 },
             kind::ACM => Body::AddressComplete { description: description(2)? },
             kind::CON => Body::Connect { description: description(2)? },
             kind::FOT => Body::ForwardTransfer,
             kind::ANM => Body::Answer { description: description(0)? },
             kind::REL => {
-                let &[location, cause] = variable(body, 0)?.first_chunk()?;
-                let congestion = optional(body, 1)?.congestion;
+                let &[location, cause] = read_variable(body, 0)?.first_chunk()?;
+                let congestion = read_optional(body, 1)?.congestion;
                 Body::Release {
                     cause: Cause(cause & 0x7f),
                     location: Location::from_code(location),
                     congestion,
                 }
             }
-            kind::SUS => fixed(body, 1, Body::Suspend)?,
-            kind::RES => fixed(body, 1, Body::Resume)?,
+            kind::SUS => require_octets(body, 1, Body::Suspend)?,
+            kind::RES => require_octets(body, 1, Body::Resume)?,
             kind::RLC => Body::ReleaseComplete,
             kind::CCR => Body::ContinuityCheckRequest,
             kind::RSC => Body::ResetCircuit,
@@ -335,27 +344,29 @@
             kind::UBL => Body::Unblock,
             kind::BLA => Body::BlockAck,
             kind::UBA => Body::UnblockAck,
-            kind::GRS => Body::ResetGroup(range(body, 0, false)?),
-            kind::CGB => Body::BlockGroup(blocking(body)?, range(body, 1, true)?),
-            kind::CGU => Body::UnblockGroup(blocking(body)?, range(body, 1, true)?),
-            kind::CGBA => Body::BlockGroupAck(blocking(body)?, range(body, 1, true)?),
-            kind::CGUA => Body::UnblockGroupAck(blocking(body)?, range(body, 1, true)?),
+            kind::GRS => Body::ResetGroup(read_range(body, 0, false)?),
+            kind::CGB => Body::BlockGroup(read_blocking(body)?, read_range(body, 1, true)?),
+            kind::CGU => Body::UnblockGroup(read_blocking(body)?, read_range(body, 1, true)?),
+            kind::CGBA => Body::BlockGroupAck(read_blocking(body)?, read_range(body, 1, true)?),
+            kind::CGUA => Body::UnblockGroupAck(read_blocking(body)?, read_range(body, 1, true)?),
             kind::LPA => Body::LoopBackAck,
-            kind::GRA => Body::ResetGroupAck(range(body, 0, true)?),
-            kind::CQM => Body::QueryGroup(range(body, 0, false)?),
+            kind::GRA => Body::ResetGroupAck(read_range(body, 0, true)?),
+            kind::CQM => Body::QueryGroup(read_range(body, 0, false)?),
             kind::CQR => {
-                let range = range(body, 0, false)?;
-                let states: Vec<_> = variable(body, 1)?.iter().map(|octet| circuit_state(*octet)).collect();
-                (states.len() == usize::from(range.more) + 1)
+                let range = read_range(body, 0, false)?;
+                let states: Vec<_> =
+                    read_variable(body, 1)?.iter().map(|octet| read_circuit_state(*octet)).collect();
+                (states.len() == usize::from(range.additional) + 1)
                     .then_some(Body::QueryGroupResponse(range, states))?
             }
-            kind::CPG => fixed(body, 1, Body::Progress)?,
+            kind::CPG => require_octets(body, 1, Body::Progress)?,
             kind::UCIC => Body::Unequipped,
-            kind::CFN => Body::Confusion { cause: Cause(variable(body, 0)?.get(1)? & 0x7f) },
+            kind::CFN => Body::Confusion { cause: Cause(read_variable(body, 0)?.get(1)? & 0x7f) },
             kind::SGM => Body::Segment { description: description(0)? },
-            kind => {
-                Body::Unknown { kind, compatibility: optional(body, 0).and_then(|parts| parts.compatibility) }
-            }
+            kind => Body::Unknown {
+                kind,
+                compatibility: read_optional(body, 0).and_then(|parts| parts.compatibility),
+            },
         })
     }
 
@@ -363,14 +374,14 @@
         match self {
             Body::SetUp(set_up) => write_set_up(bytes, set_up),
             Body::SubsequentAddress { digits } => {
-                let (odd, packed) = pack(digits);
+                let (odd, packed) = pack_digits(digits);
                 bytes.extend([2, 0, 1 + packed.len() as u8, odd]);
                 bytes.extend(packed);
             }
-            // No information is asked for in particular; none is there.
+            // No information is requested, and none is given.
             Body::InformationRequest | Body::Information => bytes.extend([0, 0, 0]),
             Body::ContinuityResult { success } => bytes.push(u8::from(*success)),
-            // Charge, subscriber free, ISDN all the way.
+            // Backward call indicators: charge, subscriber free, ISDN user part all the way.
             Body::AddressComplete { description } | Body::Connect { description } => {
                 bytes.extend([0x16, 0x14, 1]);
                 write_description(bytes, description);
@@ -383,29 +394,29 @@
                 let optional = if congestion.is_some() { 4 } else { 0 };
                 bytes.extend([2, optional, 2, 0x80 | *location as u8, 0x80 | cause.0]);
                 if let Some(level) = congestion {
-                    bytes.extend([name::CONGESTION, 1, *level, name::END]);
+                    bytes.extend([parameter::CONGESTION, 1, *level, parameter::END]);
                 }
             }
-            // Network initiated.
+            // Suspend/resume indicators: network initiated.
             Body::Suspend | Body::Resume => bytes.extend([1, 0]),
-            // Progress: alerting.
+            // Event information: alerting.
             Body::Progress => bytes.extend([1, 0]),
             Body::ReleaseComplete | Body::ForwardTransfer => bytes.push(0),
-            Body::ResetGroup(range) | Body::QueryGroup(range) => bytes.extend([1, 1, range.more]),
+            Body::ResetGroup(range) | Body::QueryGroup(range) => bytes.extend([1, 1, range.additional]),
             Body::ResetGroupAck(range) => {
                 bytes.push(1);
                 write_range(bytes, range);
             }
-            Body::BlockGroup(why, range)
-            | Body::UnblockGroup(why, range)
-            | Body::BlockGroupAck(why, range)
-            | Body::UnblockGroupAck(why, range) => {
-                bytes.extend([*why as u8, 1]);
+            Body::BlockGroup(blocking, range)
+            | Body::UnblockGroup(blocking, range)
+            | Body::BlockGroupAck(blocking, range)
+            | Body::UnblockGroupAck(blocking, range) => {
+                bytes.extend([*blocking as u8, 1]);
                 write_range(bytes, range);
             }
             Body::QueryGroupResponse(range, states) => {
-                bytes.extend([2, 3, 1, range.more, states.len() as u8]);
-                bytes.extend(states.iter().map(|state| state_octet(*state)));
+                bytes.extend([2, 3, 1, range.additional, states.len() as u8]);
+                bytes.extend(states.iter().map(|state| circuit_state_octet(*state)));
             }
             Body::Confusion { cause } => {
                 bytes.extend([2, 0, 2, 0x80 | Location::BeyondInterworking as u8, 0x80 | cause.0])
@@ -413,7 +424,7 @@
             Body::Unknown { compatibility: Some(compatibility), .. } => {
                 let Compatibility { release, notify, discard } = *compatibility;
                 let bits = u8::from(release) << 1 | u8::from(notify) << 2 | u8::from(discard) << 3;
-                bytes.extend([1, name::MESSAGE_COMPATIBILITY, 1, 0x80 | bits, name::END]);
+                bytes.extend([1, parameter::MESSAGE_COMPATIBILITY, 1, 0x80 | bits, parameter::END]);
             }
             Body::ContinuityCheckRequest
             | Body::ResetCircuit
@@ -429,28 +440,35 @@
 }
 
 impl Range {
-    /// So many circuits from the message's own on, with no status.
-    pub fn of(circuits: usize) -> Self {
-        Range { more: (circuits.max(1) - 1) as u8, status: Vec::new() }
+    /// A range of `circuits` circuits, from the message's own on, without status.
+    pub fn spanning(circuits: usize) -> Self {
+        Range { additional: (circuits.max(1) - 1) as u8, status: Vec::new() }
     }
 
+    /// The number of circuits.
     pub fn circuits(&self) -> usize {
-        usize::from(self.more) + 1
+        usize::from(self.additional) + 1
     }
 
-    /// Whether a message of a group may have it: more than one circuit, and no more than the standard says
-    /// (Q.764 2.9.3.1 for resets and queries, 2.8.2.1 for blocking).
-    pub fn fits(&self) -> bool {
+    /// Whether a group message may carry the range: more than one circuit, and at most the number that the
+    /// standard allows (Q.764 2.9.3.1 for resets and queries, 2.8.2.1 for blocking).
+    pub fn is_valid(&self) -> bool {
         let marked = self.status.iter().filter(|marked| **marked).count();
-        self.more > 0 && if self.status.is_empty() { self.circuits() <= GROUP } else { marked <= GROUP }
+        self.additional > 0
+            && if self.status.is_empty() {
+                self.circuits() <= MAX_GROUP_CIRCUITS
+            } else {
+                marked <= MAX_GROUP_CIRCUITS
+            }
     }
 }
 
-fn fixed(body: &[u8], octets: usize, read: Body) -> Option<Body> {
-    (body.len() >= octets).then_some(read)
+/// Returns the given message where its mandatory part has this many octets.
+fn require_octets(body: &[u8], octets: usize, body_if_complete: Body) -> Option<Body> {
+    (body.len() >= octets).then_some(body_if_complete)
 }
 
-fn blocking(body: &[u8]) -> Option<Blocking> {
+fn read_blocking(body: &[u8]) -> Option<Blocking> {
     match body.first()? & 3 {
         0 => Some(Blocking::Maintenance),
         1 => Some(Blocking::Hardware),
@@ -458,99 +476,103 @@
     }
 }
 
-fn range(body: &[u8], pointer: usize, with_status: bool) -> Option<Range> {
-    let (&more, octets) = variable(body, pointer)?.split_first()?;
-    let circuits = usize::from(more) + 1;
+/// Decodes range and status, by the position of the pointer.
+fn read_range(body: &[u8], pointer: usize, with_status: bool) -> Option<Range> {
+    let (&additional, octets) = read_variable(body, pointer)?.split_first()?;
+    let circuits = usize::from(additional) + 1;
     if !with_status {
-        return Some(Range { more, status: Vec::new() });
+        return Some(Range { additional, status: Vec::new() });
     }
     if octets.len() < circuits.div_ceil(8) {
         return None;
     }
-    let status = (0..circuits).map(|place| octets[place / 8] >> (place % 8) & 1 == 1).collect();
-    Some(Range { more, status })
+    let status = (0..circuits).map(|index| octets[index / 8] >> (index % 8) & 1 == 1).collect();
+    Some(Range { additional, status })
 }
 
 fn write_range(bytes: &mut Vec<u8>, range: &Range) {
     let mut octets = vec![0; range.circuits().div_ceil(8)];
-    for (place, marked) in range.status.iter().enumerate() {
-        octets[place / 8] |= u8::from(*marked) << (place % 8);
+    for (index, marked) in range.status.iter().enumerate() {
+        octets[index / 8] |= u8::from(*marked) << (index % 8);
     }
-    bytes.extend([1 + octets.len() as u8, range.more]);
+    bytes.extend([1 + octets.len() as u8, range.additional]);
     bytes.extend(octets);
 }
 
-fn circuit_state(octet: u8) -> CircuitState {
+fn read_circuit_state(octet: u8) -> CircuitState {
     let ends = |bits: u8| Ends { local: bits & 1 == 1, remote: bits & 2 == 2 };
-    let busy = match octet >> 2 & 3 {
+    let call_processing = match octet >> 2 & 3 {
         0 if octet & 3 == 3 => return CircuitState::Unequipped,
         0 => return CircuitState::Transient,
-        1 => Busy::Incoming,
-        2 => Busy::Outgoing,
-        _ => Busy::Idle,
+        1 => CallProcessing::Incoming,
+        2 => CallProcessing::Outgoing,
+        _ => CallProcessing::Idle,
     };
-    CircuitState::Equipped { busy, maintenance: ends(octet), hardware: ends(octet >> 4) }
+    CircuitState::Equipped { call_processing, maintenance: ends(octet), hardware: ends(octet >> 4) }
 }
 
-fn state_octet(state: CircuitState) -> u8 {
+fn circuit_state_octet(state: CircuitState) -> u8 {
     let ends = |ends: Ends| u8::from(ends.local) | u8::from(ends.remote) << 1;
     match state {
         CircuitState::Transient => 0,
         CircuitState::Unequipped => 3,
-        CircuitState::Equipped { busy, maintenance, hardware } => {
-            let busy = match busy {
-                Busy::Incoming => 1,
-                Busy::Outgoing => 2,
-                Busy::Idle => 3,
+        CircuitState::Equipped { call_processing, maintenance, hardware } => {
+            let call_processing = match call_processing {
+                CallProcessing::Incoming => 1,
+                CallProcessing::Outgoing => 2,
+                CallProcessing::Idle => 3,
             };
-            ends(hardware) << 4 | busy << 2 | ends(maintenance)
+            ends(hardware) << 4 | call_processing << 2 | ends(maintenance)
         }
     }
 }
 
 fn write_set_up(bytes: &mut Vec<u8>, set_up: &SetUp) {
     let SetUp { category, continuity, number, description, segmented } = set_up;
-    let signals = number.len() <= MOST_SIGNALS && number.bytes().all(|byte| DIGITS.contains(&byte));
+    let is_address_signals =
+        number.len() <= MAX_ADDRESS_SIGNALS && number.bytes().all(|byte| DIGITS.contains(&byte));
     let continuity = match continuity {
         Continuity::NotRequired => 0x00,
         Continuity::Required => 0x04,
         Continuity::Performed => 0x08,
     };
-    // No satellite, ISDN preferred all the way, speech.
+    // Nature of connection without a satellite; forward call indicators with ISDN user part preferred all the
+    // way; transmission medium speech.
     bytes.extend([continuity, 0x20, 0x01, *category, 0x00]);
-    let (odd, called) = pack(if signals { number } else { "" });
+    let (odd, called) = pack_digits(if is_address_signals { number } else { "" });
     bytes.extend([2, 4 + called.len() as u8, 2 + called.len() as u8]);
     bytes.extend([odd | NATURE_AND_PLAN.0, NATURE_AND_PLAN.1]);
     bytes.extend(called);
-    if !signals {
-        for part in number.as_bytes().chunks(MOST_DIGITS) {
-            bytes.extend([name::GENERIC_DIGITS, 1 + part.len() as u8, IA5_DIGITS]);
+    if !is_address_signals {
+        for part in number.as_bytes().chunks(MAX_GENERIC_DIGITS) {
+            bytes.extend([parameter::GENERIC_DIGITS, 1 + part.len() as u8, IA5_DIGITS]);
             bytes.extend(part);
         }
     }
     if *segmented {
-        bytes.extend([name::FORWARD_INDICATORS, 1, MORE_FOLLOWS]);
+        bytes.extend([parameter::FORWARD_INDICATORS, 1, MORE_FOLLOWS]);
     }
     write_description(bytes, description);
 }
 
 fn write_description(bytes: &mut Vec<u8>, description: &str) {
-    for part in description.as_bytes().chunks(USER_PART) {
-        bytes.extend([name::USER_TO_USER, 1 + part.len() as u8, IA5]);
+    for part in description.as_bytes().chunks(MAX_USER_INFORMATION_OCTETS) {
+        bytes.extend([parameter::USER_TO_USER, 1 + part.len() as u8, IA5]);
         bytes.extend(part);
     }
-    bytes.push(name::END);
+    bytes.push(parameter::END);
 }
 
-/// Address signals in pairs, and the bit that says that their number is odd.
-fn pack(digits: &str) -> (u8, Vec<u8>) {
+/// Packs address signals in pairs. Returns the odd/even indicator bit and the octets.
+fn pack_digits(digits: &str) -> (u8, Vec<u8>) {
     let value = |byte: &u8| DIGITS.iter().position(|digit| digit == byte).unwrap_or(0) as u8;
     let packed = digits.as_bytes().chunks(2).map(|pair| value(&pair[0]) | pair.get(1).map_or(0, value) << 4);
     (if digits.len() % 2 == 1 { 0x80 } else { 0 }, packed.collect())
 }
 
-/// The address signals of a number, behind so many octets of which the first has the bit for an odd count.
-fn signals(number: &[u8], head: usize) -> Option<String> {
+/// Unpacks the address signals of a number that follow `head` octets, the first of which has the odd/even
+/// indicator.
+fn unpack_digits(number: &[u8], head: usize) -> Option<String> {
     let odd = number.first()? & 0x80 != 0;
     let digits = number.get(head..)?.iter().flat_map(|byte| [byte & 0x0f, byte >> 4]);
     let mut text: String = digits.map(|digit| char::from(DIGITS[usize::from(digit)])).collect();
@@ -560,15 +582,15 @@
     Some(text)
 }
 
-fn set_up(body: &[u8]) -> Option<SetUp> {
+fn read_set_up(body: &[u8]) -> Option<SetUp> {
     let continuity = match body.first()? >> 2 & 3 {
         1 => Continuity::Required,
         2 => Continuity::Performed,
         _ => Continuity::NotRequired,
     };
     let category = *body.get(3)?;
-    let number = signals(variable(body, 5)?, 2)?;
-    let parts = optional(body, 6)?;
+    let number = unpack_digits(read_variable(body, 5)?, 2)?;
+    let parts = read_optional(body, 6)?;
     let number = if parts.digits.is_empty() { number } else { parts.digits };
     Some(SetUp {
         category,
@@ -579,15 +601,16 @@
     })
 }
 
-/// A part of variable length, by the place of its pointer. Pointers count from themselves.
-fn variable(body: &[u8], pointer: usize) -> Option<&[u8]> {
+/// A mandatory parameter of variable length, by the position of its pointer. Pointers count from their own
+/// octet.
+fn read_variable(body: &[u8], pointer: usize) -> Option<&[u8]> {
     let at = pointer + usize::from(*body.get(pointer)?);
     let length = usize::from(*body.get(at)?);
     body.get(at + 1..at + 1 + length)
 }
 
 #[derive(Default)]
-struct Optional {
+struct OptionalParameters {
     description: String,
     digits: String,
     congestion: Option<u8>,
@@ -595,27 +618,27 @@
     compatibility: Option<Compatibility>,
 }
 
-/// The optional part, by the place of its pointer; one that points nowhere means that there is none.
-/// Parameters that are not known here are passed over.
-fn optional(body: &[u8], pointer: usize) -> Option<Optional> {
-    let mut found = Optional::default();
+/// Decodes the optional part, by the position of its pointer; a zero pointer stands for no optional part.
+/// Unknown parameters are skipped.
+fn read_optional(body: &[u8], pointer: usize) -> Option<OptionalParameters> {
+    let mut found = OptionalParameters::default();
     let (mut description, mut digits) = (Vec::new(), Vec::new());
     let offset = usize::from(*body.get(pointer)?);
     let mut rest = if offset == 0 { &[] } else { body.get(pointer + offset..)? };
     while let Some((&name, after)) = rest.split_first() {
-        if name == name::END {
+        if name == parameter::END {
             break;
         }
         let (&length, after) = after.split_first()?;
         let (value, after) = after.split_at_checked(length.into())?;
         match name {
-            name::USER_TO_USER => description.extend(value.get(1..)?),
-            name::GENERIC_DIGITS => digits.extend(value.get(1..)?),
-            name::CONGESTION => found.congestion = value.first().copied(),
-            name::FORWARD_INDICATORS => found.more_follows = value.first()? & MORE_FOLLOWS != 0,
-            name::MESSAGE_COMPATIBILITY => {
+            parameter::USER_TO_USER => description.extend(value.get(1..)?),
+            parameter::GENERIC_DIGITS => digits.extend(value.get(1..)?),
+            parameter::CONGESTION => found.congestion = value.first().copied(),
+            parameter::FORWARD_INDICATORS => found.more_follows = value.first()? & MORE_FOLLOWS != 0,
+            parameter::MESSAGE_COMPATIBILITY => {
                 let bits = *value.first()?;
-                let bit = |place: u8| bits >> place & 1 == 1;
+                let bit = |index: u8| bits >> index & 1 == 1;
                 found.compatibility =
                     Some(Compatibility { release: bit(1), notify: bit(2), discard: bit(3) });
             }
--- a/signalling/src/office.rs
+++ b/signalling/src/office.rs
@@ -134,8 +134,8 @@
     Ended {
         server: usize,
         call: CallRef,
-        /// Whether it had stood.
-        stood: bool,
+        /// Whether the call was answered before.
+        was_established: bool,
         cause: Cause,
         location: Location,
         congestion: Option<u8>,
@@ -323,7 +323,7 @@
                 self.tell_caller(now, client, circuits::Event::Release { call, cause, congestion })
             }
             Event::Recall { client, circuit, cause } => {
-                self.tell_caller(now, client, circuits::Event::Recall { circuit, cause })
+                self.tell_caller(now, client, circuits::Event::ReleaseCircuit { circuit, cause })
             }
             Event::SetUp { server, call, set_up } => {
                 self.tell_trunk(now, Peer::Server(server), circuits::Event::SetUp { call, set_up }, None)
@@ -523,11 +523,11 @@
     ) {
         let message = match Message::read(user) {
             Ok(message) => message,
-            Err(isup::Unreadable::Parameters { circuit, kind: isup::kind::IAM })
+            Err(isup::DecodeError::InvalidParameters { circuit, kind: isup::kind::IAM })
                 if self.trunk(peer).is_idle(circuit) =>
             {
                 let cause = Cause::PROTOCOL;
-                return self.tell_trunk(now, peer, circuits::Event::Recall { circuit, cause }, None);
+                return self.tell_trunk(now, peer, circuits::Event::ReleaseCircuit { circuit, cause }, None);
             }
             Err(_) => return self.refuse(now, peer, association, Fault::Protocol, bytes),
         };
@@ -568,9 +568,9 @@
                     let client = self.place(peer);
                     self.effects.push(Effect::Offer { client, call, set_up });
                 }
-                circuits::Effect::Analyse { circuit, number } => {
+                circuits::Effect::AnalyseNumber { circuit, number } => {
                     let complete = self.is_complete(&number);
-                    self.tell_trunk(now, peer, circuits::Event::Number { circuit, complete }, None);
+                    self.tell_trunk(now, peer, circuits::Event::NumberAnalysed { circuit, complete }, None);
                 }
                 circuits::Effect::Abandoned { call, cause } => {
                     let client = self.place(peer);
@@ -584,7 +584,7 @@
                         self.servers[server].0.handle(now, member::Event::Idle { circuit });
                     }
                 },
-                circuits::Effect::Stands { circuit, call } => {
+                circuits::Effect::EstablishedChanged { circuit, call } => {
                     let (is_client, place) = match peer {
                         Peer::Client(client) => (true, client),
                         Peer::Server(server) => (false, server),
@@ -598,7 +598,7 @@
                     }
                 }
                 circuits::Effect::Disregarded { .. } => {}
-                circuits::Effect::Alert { circuit, what } => self.note(Note::Circuit(circuit, what)),
+                circuits::Effect::Alert { circuit, alert } => self.note(Note::Circuit(circuit, alert)),
                 of_ours => {
                     if let Peer::Server(server) = peer {
                         self.effects.extend(call_effect(server, of_ours));
@@ -632,8 +632,8 @@
     Some(match effect {
         circuits::Effect::Progress { .. } => Effect::Progress { server },
         circuits::Effect::Answered { call, description } => Effect::Answered { server, call, description },
-        circuits::Effect::Ended { call, stood, cause, location, congestion } => {
-            Effect::Ended { server, call, stood, cause, location, congestion }
+        circuits::Effect::Ended { call, was_established, cause, location, congestion } => {
+            Effect::Ended { server, call, was_established, cause, location, congestion }
         }
         circuits::Effect::NoCircuit { call } => Effect::NoCircuit { server, call },
         _ => return None,
--- a/signalling/tests/conformance.rs
+++ b/signalling/tests/conformance.rs
@@ -88,7 +88,7 @@
             equipped: Some((1, if ["member-query", "member-reset"].contains(&profile) { 4 } else { 30 })),
             incoming: false,
             outgoing: true,
-            longest: (profile == "member-segments").then_some(100),
+            max_message_len: (profile == "member-segments").then_some(100),
             on_start: match profile {
                 "member-query" => OnStart::Query,
                 "member-reset" => OnStart::Reset,
