--- a/signalling/src/office.rs
+++ b/signalling/src/office.rs
@@ -149,7 +149,7 @@
         server: usize,
         call: CallRef,
         /// Whether the call was established.
-        stood: bool,
+        was_established: bool,
         cause: Cause,
         location: Location,
         congestion: Option<u8>,
@@ -353,7 +353,7 @@
                 self.handle_caller_event(now, client, circuits::Event::Release { call, cause, congestion })
             }
             Event::ReleaseCircuit { client, circuit, cause } => {
-                self.handle_caller_event(now, client, circuits::Event::Recall { circuit, cause })
+                self.handle_caller_event(now, client, circuits::Event::ReleaseCircuit { circuit, cause })
             }
             Event::SetUp { server, call, set_up } => self.handle_trunk_event(
                 now,
@@ -562,11 +562,16 @@
     ) {
         let message = match Message::read(payload) {
             Ok(message) => message,
-            Err(isup::Unreadable::Parameters { circuit, kind: isup::kind::IAM })
+            Err(isup::DecodeError::InvalidParameters { circuit, kind: isup::kind::IAM })
                 if self.trunk(peer).is_idle(circuit) =>
             {
                 let cause = Cause::PROTOCOL;
-                return self.handle_trunk_event(now, peer, circuits::Event::Recall { circuit, cause }, None);
+                return self.handle_trunk_event(
+                    now,
+                    peer,
+                    circuits::Event::ReleaseCircuit { circuit, cause },
+                    None,
+                );
             }
             Err(_) => return self.send_error(now, peer, association, ErrorCode::Protocol, bytes),
         };
@@ -612,9 +617,14 @@
                     let client = self.client_index(peer);
                     self.effects.push(Effect::Offer { client, call, set_up });
                 }
-                circuits::Effect::Analyse { circuit, number } => {
+                circuits::Effect::AnalyseNumber { circuit, number } => {
                     let complete = self.is_complete(&number);
-                    self.handle_trunk_event(now, peer, circuits::Event::Number { circuit, complete }, None);
+                    self.handle_trunk_event(
+                        now,
+                        peer,
+                        circuits::Event::NumberAnalysed { circuit, complete },
+                        None,
+                    );
                 }
                 circuits::Effect::Abandoned { call, cause } => {
                     let client = self.client_index(peer);
@@ -628,7 +638,7 @@
                         self.servers[server].0.handle(now, asp::Event::Idle { circuit });
                     }
                 },
-                circuits::Effect::Stands { circuit, call } => {
+                circuits::Effect::EstablishedChanged { circuit, call } => {
                     let (is_client, index) = match peer {
                         Peer::Client(client) => (true, client),
                         Peer::Server(server) => (false, server),
@@ -642,7 +652,7 @@
                     }
                 }
                 circuits::Effect::Disregarded { .. } => {}
-                circuits::Effect::Alert { circuit, what } => self.log(LogEvent::Circuit(circuit, what)),
+                circuits::Effect::Alert { circuit, alert } => self.log(LogEvent::Circuit(circuit, alert)),
                 outgoing => {
                     if let Peer::Server(server) = peer {
                         self.effects.extend(call_effect(server, outgoing));
@@ -677,8 +687,8 @@
     Some(match effect {
         circuits::Effect::Progress { .. } => Effect::Progress { server },
         circuits::Effect::Answered { call, description } => Effect::Answered { server, call, description },
-        circuits::Effect::Ended { call, stood, cause, location, congestion } => {
-            Effect::Ended { server, call, stood, cause, location, congestion }
+        circuits::Effect::Ended { call, was_established, cause, location, congestion } => {
+            Effect::Ended { server, call, was_established, cause, location, congestion }
         }
         circuits::Effect::NoCircuit { call } => Effect::NoCircuit { server, call },
         _ => return None,
