--- a/agent/src/net/links/tests.rs
+++ b/agent/src/net/links/tests.rs
@@ -284,9 +284,10 @@
         let (id, _) = links.take_due_dials(0)[0];
         links.connected(id, open_outbox(), 0);
         links.post(SERVER, set_up(1), 0).expect("the connection is established");
-        assert!(
-            matches!(verdicts(&mut links, MIN_PATIENCE, MIN_PATIENCE)[..], [LinkAction::Probe(tested)] if tested == id)
-        );
+        assert!(matches!(
+            verdicts(&mut links, MIN_PATIENCE, MIN_PATIENCE)[..],
+            [LinkAction::Probe(tested)] if tested == id
+        ));
         (links, MIN_PATIENCE + HEARTBEAT_TIMEOUT)
     };
     for (silent, name) in [
