--- a/agent/src/net/links.rs
+++ b/agent/src/net/links.rs
@@ -245,7 +245,7 @@
         if same {
             return false;
         }
-        let had = self.remove(server);
+        let was_known = self.remove(server);
         let link = Link {
             endpoint,
             state: State::Down(now),
@@ -262,7 +262,7 @@
             is_unreachable: false,
         };
         self.links.insert(server, link);
-        had
+        was_known
     }
 
     /// Removes a server and closes its connections; returns whether it was known.
--- a/agent/src/net/links/tests.rs
+++ b/agent/src/net/links/tests.rs
@@ -146,16 +146,16 @@
 #[test]
 fn a_slow_server_among_fast_ones_keeps_its_own_patience() {
     let (mut links, mut now) = (links(), 0);
-    let (slow, quick) = (LinkId { server: SERVER, epoch: 1 }, ServerId(2));
-    links.set_address(quick, Endpoint::Platform(([127, 0, 0, 1], 2).into()), now);
+    let (slow, fast) = (LinkId { server: SERVER, epoch: 1 }, ServerId(2));
+    links.set_address(fast, Endpoint::Platform(([127, 0, 0, 1], 2).into()), now);
     let (other, _) = links.take_due_dials(now)[0];
     links.connected(other, open_outbox(), now);
     for call in 1..=10 {
         now += 4_000 * MS;
         for number in 0..20 {
-            let asked = now + number * 50 * MS;
-            links.post(quick, set_up(100 + call), asked).expect("the connection is established");
-            links.received(other, Some(CallId(100 + call)), false, asked + MS);
+            let sent_at = now + number * 50 * MS;
+            links.post(fast, set_up(100 + call), sent_at).expect("the connection is established");
+            links.received(other, Some(CallId(100 + call)), false, sent_at + MS);
         }
         now += 1_000 * MS;
         links.post(SERVER, set_up(call), now).expect("the connection is established");
@@ -244,8 +244,9 @@
     links.post(SERVER, set_up(7), 3 * MS).expect("the connection is established");
     links.post(SERVER, ToServer::Cancel(CallId(4)), 3 * MS).expect("the connection is established");
     links.post(SERVER, ToServer::Cancel(CallId(7)), 3 * MS).expect("the connection is established");
-    let said: Vec<_> = std::iter::from_fn(|| inbox.next_now()).filter(|said| !said.is_cancelled()).collect();
-    assert!(matches!(said[..], [ToServer::Cancel(CallId(4))]), "{said:?}");
+    let received: Vec<_> =
+        std::iter::from_fn(|| inbox.next_now()).filter(|received| !received.is_cancelled()).collect();
+    assert!(matches!(received[..], [ToServer::Cancel(CallId(4))]), "{received:?}");
 }
 
 /// Checks for silence at `now`, with everything read that had arrived by `read_until`.
@@ -351,21 +352,21 @@
 fn a_process_that_was_suspended_dials_before_a_server_is_unreachable() {
     let mut links = links();
     links.post(SERVER, set_up(1), 0).expect("the connection is established");
-    let woken = 2 * UNREACHABLE_TIMEOUT;
-    replacement(&mut links, woken).expect("nothing was received since");
-    let told = woken + MIN_DIAL_TIME;
-    assert!(links.take_unreachable(read_at(told - MS)).is_empty(), "the dial may succeed");
+    let resumed_at = 2 * UNREACHABLE_TIMEOUT;
+    replacement(&mut links, resumed_at).expect("nothing was received since");
+    let checked_at = resumed_at + MIN_DIAL_TIME;
+    assert!(links.take_unreachable(read_at(checked_at - MS)).is_empty(), "the dial may succeed");
     assert!(
-        links.take_unreachable(ReadProgress { now: told, read_until: told - MS }).is_empty(),
+        links.take_unreachable(ReadProgress { now: checked_at, read_until: checked_at - MS }).is_empty(),
         "not read yet"
     );
-    assert_eq!(links.take_unreachable(read_at(told)).len(), 1);
+    assert_eq!(links.take_unreachable(read_at(checked_at)).len(), 1);
 }
 
 /// The calls whose releases are sent to the server on a connection.
 fn released(inbox: &mut conn::Inbox<ToServer>) -> Vec<CallId> {
-    let said = std::iter::from_fn(|| inbox.next_now());
-    let released = said.filter_map(|message| match message {
+    let received = std::iter::from_fn(|| inbox.next_now());
+    let released = received.filter_map(|message| match message {
         ToServer::Release(call, _) => Some(call),
         _ => None,
     });
--- a/agent/src/net/owner/tests.rs
+++ b/agent/src/net/owner/tests.rs
@@ -285,7 +285,7 @@
         owner.handle(Input::Offer { client, request });
         owner.handle_all_effects();
     };
-    let drain = |to_server: &mut Inbox<ToServer>| {
+    let read_set_ups = |to_server: &mut Inbox<ToServer>| {
         let read: Vec<_> = std::iter::from_fn(|| to_server.next_now()).collect();
         read.iter().for_each(|message| to_server.done(message));
         read.iter().filter_map(ToServer::set_up).collect::<Vec<_>>()
@@ -300,9 +300,9 @@
             );
         })
         .count();
-    assert!(refused > 0 && drain(&mut to_server).len() + refused == BURST as usize + 1, "{refused}");
+    assert!(refused > 0 && read_set_ups(&mut to_server).len() + refused == BURST as usize + 1, "{refused}");
     offer(&mut owner, 99);
-    assert_eq!(drain(&mut to_server), [CallId(99)]);
+    assert_eq!(read_set_ups(&mut to_server), [CallId(99)]);
 }
 
 /// Callers release many unknown calls, and the releases are sent to every server; in the same iteration one
@@ -320,7 +320,7 @@
     let now = owner.shared.clock.now();
     owner.handle(Input::Offer { client, request: request(CallId(8), now) });
     owner.handle_all_effects();
-    assert!(inbox.next_now().is_none(), "no refusal");
+    assert!(inbox.next_now().is_none(), "the set-up is not refused");
     let sent: Vec<_> =
         std::iter::from_fn(|| to_server.next_now()).filter_map(|received| received.set_up()).collect();
     assert_eq!(sent, [CALL, CallId(8)]);
--- a/agent/src/ports/conn.rs
+++ b/agent/src/ports/conn.rs
@@ -88,7 +88,7 @@
                 }
             }
             self.in_partial_message.set(self.buffer.is_some());
-            self.gate.waits();
+            self.gate.set_waiting();
             match &self.buffer {
                 None => self.stream.readable().await?,
                 Some(_) => {
@@ -136,7 +136,7 @@
     written: impl Fn(&M),
 ) -> io::Result<()> {
     while let Some(first) = inbox.next().await {
-        inbox.writes(stream.writable()).await?;
+        inbox.while_blocked(stream.writable()).await?;
         let mut buffer = pool.take();
         let mut parts = Vec::new();
         let mut next = Some(first);
@@ -160,7 +160,7 @@
             }
             next = inbox.next_now();
         }
-        let consumed = inbox.writes(write_available(stream, buffer.filled(), &parts)).await;
+        let consumed = inbox.while_blocked(write_available(stream, buffer.filled(), &parts)).await;
         pool.put(buffer);
         finish(inbox, &mut parts, consumed?);
         parts.iter().for_each(|part| written(&part.message));
--- a/agent/src/ports/conn/gate.rs
+++ b/agent/src/ports/conn/gate.rs
@@ -22,7 +22,7 @@
 
 impl Gate {
     /// Records that the reader has passed on everything that it has read and waits for more.
-    pub fn waits(&self) {
+    pub fn set_waiting(&self) {
         self.waiting.set(true);
     }
 
--- a/agent/src/ports/conn/queue.rs
+++ b/agent/src/ports/conn/queue.rs
@@ -209,7 +209,7 @@
     }
 
     /// Runs a write; while the future is pending, the connection counts as blocked.
-    pub async fn writes<T>(&self, writing: impl Future<Output = T>) -> T {
+    pub async fn while_blocked<T>(&self, writing: impl Future<Output = T>) -> T {
         self.0.is_blocked.set(true);
         let written = writing.await;
         self.0.is_blocked.set(false);
