--- a/agent/src/front/m3ua/mod.rs
+++ b/agent/src/front/m3ua/mod.rs
@@ -428,7 +428,7 @@
                 };
                 self.list(server, state);
             }
-            Effect::EstablishedCall { is_client, index, circuit, call } => {
+            Effect::EstablishedChanged { is_client, index, circuit, call } => {
                 let config = &self.handle.config;
                 let peer = if is_client { &config.clients[index].name } else { &config.servers[index].name };
                 if let Some(kept) = &self.kept {
--- a/signalling/src/office.rs
+++ b/signalling/src/office.rs
@@ -175,7 +175,7 @@
         data: [u8; 8],
     },
     /// The established call on a circuit of a client or a server; `None` once there is none.
-    EstablishedCall {
+    EstablishedChanged {
         is_client: bool,
         index: usize,
         circuit: Circuit,
@@ -633,7 +633,7 @@
                         Peer::Client(client) => (true, client),
                         Peer::Server(server) => (false, server),
                     };
-                    self.effects.push(Effect::EstablishedCall { is_client, index, circuit, call });
+                    self.effects.push(Effect::EstablishedChanged { is_client, index, circuit, call });
                 }
                 circuits::Effect::Disregarded { kind: isup::kind::IAM, .. } => {
                     // Answered with ERR, since a release would end the call that is on the circuit.
