--- a/agent/src/cli.rs
+++ b/agent/src/cli.rs
@@ -40,10 +40,10 @@
     /// the configuration; by default the file that LB_CONFIG names
     #[argh(option)]
     config: Option<PathBuf>,
-    /// serve M3UA too, as this file says
+    /// also serve M3UA, as this file configures it
     #[argh(option)]
     m3ua: Option<PathBuf>,
-    /// answer SNMP too, as this file says
+    /// also answer SNMP, as this file configures it
     #[argh(option)]
     snmp: Option<PathBuf>,
     /// be a member of the fleet that this file describes
@@ -51,7 +51,7 @@
     fleet: Option<PathBuf>,
 }
 
-/// Read the configuration and say what is wrong with it, or what it holds.
+/// Check the configuration and print a summary of it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check-config")]
 struct CheckConfig {
@@ -82,7 +82,7 @@
     /// milliseconds that a case may let pass; cases that need more are not applicable
     #[argh(option, default = "0")]
     patience: u64,
-    /// only cases whose names start so
+    /// run only cases whose names start with this
     #[argh(option, default = "String::new()")]
     only: String,
     /// print JSON in place of a table
@@ -139,7 +139,7 @@
     }
 }
 
-/// The command line, or the exit code where there is none: 2 for wrong use of `fleet`, which scripts call.
+/// Parses the command line, or returns the exit code: 2 for incorrect usage of `fleet`, which scripts call.
 fn parse() -> Result<Command, ExitCode> {
     let words: Vec<String> = std::env::args_os().map(|word| word.to_string_lossy().into_owned()).collect();
     let rest: Vec<&str> = words.iter().skip(1).map(String::as_str).collect();
--- a/agent/src/config.rs
+++ b/agent/src/config.rs
@@ -1,4 +1,4 @@
-//! What a call agent is told at its start.
+//! The configuration of a call agent, read at its start.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -25,22 +25,22 @@
     NotJson { path: PathBuf, error: serde_json::Error },
     #[error("LB_SOCKET_FD: {0}")]
     Inherited(#[from] InheritedError),
-    #[error("{}: {wrong}", path.display())]
-    Wrong { path: PathBuf, wrong: Wrong },
+    #[error("{}: {invalid}", path.display())]
+    Invalid { path: PathBuf, invalid: InvalidConfig },
     #[error("LB_OPS: {0}")]
     Ops(String),
 }
 
-/// What the file holds that cannot be, and where.
+/// An invalid value in the file, and where it is.
 #[derive(Debug, thiserror::Error)]
-pub enum Wrong {
+pub enum InvalidConfig {
     #[error("{field}: {why}")]
     Field { field: &'static str, why: String },
     #[error("settings.{0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Why one of our own files can't be used.
+/// Why one of the program's own TOML files cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
     #[error("{}: {error}", path.display())]
@@ -49,7 +49,10 @@
     NotToml { path: PathBuf, error: Box<toml::de::Error> },
 }
 
-/// Reads one of our own files.
+/// Reads one of the program's own TOML files.
+///
+/// # Errors
+/// The file cannot be read, or is not TOML of this form.
 pub fn read_toml<T: DeserializeOwned>(path: &Path) -> Result<T, FileError> {
     let named = || path.to_path_buf();
     let text =
@@ -61,23 +64,25 @@
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    /// The socket that listens there, where the platform holds it and another process may have it too.
+    /// The listening socket, where the platform owns it; another process may have inherited it too.
     pub inherited: Option<TcpListener>,
-    /// Where operators ask, if anywhere.
+    /// The address for operators, if there is one.
     pub ops: Option<SocketAddr>,
     pub seed: u64,
-    pub board: Option<SocketAddr>,
-    pub known: Known,
+    /// The address of service discovery, if there is one.
+    pub discovery: Option<SocketAddr>,
+    pub known: KnownServers,
     pub site: Site,
     pub bounds: CoreLimits,
 }
 
-/// The list of servers as it was before the start.
+/// The server list cached before the start.
 #[derive(Debug)]
-pub struct Known {
+pub struct KnownServers {
     pub source: ListSource,
     pub kind: ListKind,
-    pub last: u64,
+    /// Revision of the last event in the list.
+    pub last_revision: u64,
     pub servers: Vec<(Entry, Way)>,
 }
 
@@ -135,21 +140,25 @@
     boot_ms: u64,
 }
 
-/// Where the limits name no number of descriptors.
-const SOCKETS: usize = 1024;
-/// Where they name no memory, in MB; and the part of it that calls that wait may take.
-const MEMORY: usize = 192;
-const HELD_PART: usize = 4;
-/// The program's own descriptors: its listeners, the board, the runtime's, and callers' connections that
-/// close.
-const OWN_SOCKETS: usize = 16;
-/// Those for servers, of which so many may come to be listed: a connection each, and one that relieves it. No
-/// caller takes these, so that servers and the board can be had whoever fills the others.
-const SERVERS: usize = 8;
-const OF_SERVER: usize = 2;
+/// Descriptors, where the limits give no number.
+const DEFAULT_MAX_SOCKETS: usize = 1024;
+/// Memory in MB, where the limits give none; pending calls may take one part in `PENDING_CALL_DIVISOR` of it.
+const DEFAULT_MEMORY_MB: usize = 192;
+const PENDING_CALL_DIVISOR: usize = 4;
+/// The program's own descriptors: its listeners, the service discovery connection, the runtime's, and
+/// callers' connections that are being closed.
+const OWN_DESCRIPTORS: usize = 16;
+/// Descriptors are reserved for at least this many servers, for each a connection and its replacement.
+/// Callers cannot use them, so that servers and service discovery stay reachable when callers take all the
+/// others.
+const MIN_RESERVED_SERVERS: usize = 8;
+const DESCRIPTORS_PER_SERVER: usize = 2;
 
 impl Config {
-    /// Reads the file that was named, or else the one in `LB_CONFIG`.
+    /// Reads the file `named`, or else the one in `LB_CONFIG`.
+    ///
+    /// # Errors
+    /// No file is named, it cannot be read or is invalid, or `LB_OPS` or `LB_SOCKET_FD` is invalid.
     pub fn load(named: Option<&Path>) -> Result<Self, ConfigError> {
         let path = match named {
             Some(path) => path.to_path_buf(),
@@ -159,71 +168,71 @@
             .map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
         let raw = serde_json::from_str(&text);
         let mut raw: RawConfig = raw.map_err(|error| ConfigError::NotJson { path: path.clone(), error })?;
-        // Two processes of an upgrade share the file, and differ in this address.
+        // During an upgrade two processes share the file and differ only in this address.
         let named = std::env::var("LB_OPS").ok();
         if let Some(named) = &named {
-            address("LB_OPS", named).map_err(|_| ConfigError::Ops(no_address(named)))?;
+            address("LB_OPS", named).map_err(|_| ConfigError::Ops(invalid_address(named)))?;
         }
         raw.ops = named.or(raw.ops);
-        let mut config = Self::from_raw(raw).map_err(|wrong| ConfigError::Wrong { path, wrong })?;
+        let mut config = Self::from_raw(raw).map_err(|invalid| ConfigError::Invalid { path, invalid })?;
         if let Ok(number) = std::env::var("LB_SOCKET_FD") {
             config.inherited = Some(inherited::listener(&number, config.listen)?);
-            // Two processes of an upgrade share the descriptors.
+            // During an upgrade two processes share the descriptors.
             let bounds = &mut config.bounds;
             bounds.connections = (bounds.connections / 2).max(1);
         }
         Ok(config)
     }
 
-    fn from_raw(raw: RawConfig) -> Result<Self, Wrong> {
+    fn from_raw(raw: RawConfig) -> Result<Self, InvalidConfig> {
         steprelay_settings::check(&raw.settings)?;
         let site = steprelay_settings::site_settings(&raw.settings);
         if site.class_names.is_empty() {
-            return Err(wrong("settings.services", "no class of call is named"));
+            return Err(invalid("settings.services", "no class of call is named"));
         }
         let seed = match raw.seed.as_str() {
             "" => 0,
-            hex => u64::from_str_radix(hex, 16).map_err(|error| wrong("seed", error.to_string()))?,
+            hex => u64::from_str_radix(hex, 16).map_err(|error| invalid("seed", error.to_string()))?,
         };
-        let memory = raw.limits.memory_mb.unwrap_or(MEMORY) << 20;
-        let sockets = raw.limits.sockets.unwrap_or(SOCKETS);
+        let memory = raw.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) << 20;
+        let sockets = raw.limits.sockets.unwrap_or(DEFAULT_MAX_SOCKETS);
         let ops = raw.ops.as_deref().map(|text| address("ops", text)).transpose()?;
-        let known = known(raw.known)?;
-        let servers = OF_SERVER * known.servers.len().max(SERVERS);
-        let own = OWN_SOCKETS + servers + if ops.is_some() { ops::MOST } else { 0 };
+        let known = replay_known(raw.known)?;
+        let servers = DESCRIPTORS_PER_SERVER * known.servers.len().max(MIN_RESERVED_SERVERS);
+        let own = OWN_DESCRIPTORS + servers + if ops.is_some() { ops::MAX_CONNECTIONS } else { 0 };
         Ok(Config {
             name: raw.name,
             listen: address("listen", &raw.listen)?,
             inherited: None,
             ops,
             seed,
-            board: raw.board.as_deref().map(|text| address("board", text)).transpose()?,
+            discovery: raw.board.as_deref().map(|text| address("board", text)).transpose()?,
             known,
             site,
             bounds: CoreLimits {
-                // Callers hold a third of the descriptors; the second third is for others that come to call.
+                // One peer may hold a third of the descriptors; the second third is left to other callers.
                 connections: (sockets * 2 / 3).min(sockets.saturating_sub(own)).max(1),
                 connections_per_peer: (sockets / 3).max(1),
-                pending_call_bytes: memory / HELD_PART,
+                pending_call_bytes: memory / PENDING_CALL_DIVISOR,
             },
         })
     }
 }
 
-fn wrong(field: &'static str, why: impl Into<String>) -> Wrong {
-    Wrong::Field { field, why: why.into() }
+fn invalid(field: &'static str, why: impl Into<String>) -> InvalidConfig {
+    InvalidConfig::Field { field, why: why.into() }
 }
 
-fn no_address(text: &str) -> String {
-    format!("'{}' is no address with a port", text.escape_debug())
+fn invalid_address(text: &str) -> String {
+    format!("'{}' is not an address with a port", text.escape_debug())
 }
 
-fn address(field: &'static str, text: &str) -> Result<SocketAddr, Wrong> {
-    text.parse().map_err(|_| wrong(field, no_address(text)))
+fn address(field: &'static str, text: &str) -> Result<SocketAddr, InvalidConfig> {
+    text.parse().map_err(|_| invalid(field, invalid_address(text)))
 }
 
-/// Plays the known events, one after the other, down to the list that they leave.
-fn known(raw: RawKnown) -> Result<Known, Wrong> {
+/// Applies the cached events in order; returns the server list that results.
+fn replay_known(raw: RawKnown) -> Result<KnownServers, InvalidConfig> {
     let mut servers = BTreeMap::new();
     for notice in raw.notices {
         if notice.pool.all {
@@ -231,19 +240,25 @@
         }
         for target in notice.pool.targets {
             let id = target.uid.strip_prefix("s-").and_then(|hex| u32::from_str_radix(hex, 16).ok());
-            let id = id.ok_or_else(|| wrong("known", format!("'{}' is no id", target.uid.escape_debug())))?;
+            let id =
+                id.ok_or_else(|| invalid("known", format!("'{}' is not an id", target.uid.escape_debug())))?;
             let state = match target.state.as_str() {
                 "up" => Readiness::Ready,
                 "draining" => Readiness::Draining,
                 "removed" => Readiness::Gone,
-                other => return Err(wrong("known", format!("unknown state '{}'", other.escape_debug()))),
+                other => return Err(invalid("known", format!("unknown state '{}'", other.escape_debug()))),
             };
             let way = Way::Platform(address("known", &target.endpoint)?);
             servers.insert(id, (board::entry(id, target.pod_group, state, target.boot_ms), way));
         }
     }
     let servers = servers.into_values().filter(|(entry, _)| entry.state != Readiness::Gone).collect();
-    Ok(Known { source: ListSource::Discovery, kind: ListKind::Cached, last: raw.rev, servers })
+    Ok(KnownServers {
+        source: ListSource::Discovery,
+        kind: ListKind::Cached,
+        last_revision: raw.rev,
+        servers,
+    })
 }
 
 #[cfg(test)]
--- a/agent/src/config/tests.rs
+++ b/agent/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! The configuration as it is read.
+//! Tests of reading the configuration.
 
 use super::*;
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn known_events_are_played_to_the_present_list() {
+fn cached_events_are_applied_in_order() {
     let target = |uid: &str, state: &str| {
         format!(
             r#"{{"uid":"{uid}","endpoint":"127.0.0.2:5070","pod_group":2,"state":"{state}","boot_ms":0}}"#
@@ -25,17 +25,20 @@
             "settings":{{"services":[{{"name":"voice"}}]}}}}"#
     );
     let config = read(&text).expect("well formed");
-    assert_eq!((config.seed, config.known.last), (0x8c1f_30d2_7a5b_e964, 7));
+    assert_eq!((config.seed, config.known.last_revision), (0x8c1f_30d2_7a5b_e964, 7));
     let left: Vec<_> = config.known.servers.iter().map(|(entry, _)| (entry.server.0, entry.state)).collect();
     assert_eq!(left, [(10, Readiness::Draining)]);
 }
 
 #[test]
-fn what_is_wrong_is_said_plainly() {
+fn errors_name_the_field_and_the_reason() {
     let settings = r#""settings":{"services":[{"name":"voice"}]}"#;
-    let bad = |rest: &str| read(&format!("{{{rest}}}")).expect_err("bad");
-    assert_eq!(bad(&format!(r#""listen":"here",{settings}"#)), "listen: 'here' is no address with a port");
-    let empty = bad(r#""listen":"127.0.0.1:1","settings":{}"#);
+    let rejection = |rest: &str| read(&format!("{{{rest}}}")).expect_err("invalid");
+    assert_eq!(
+        rejection(&format!(r#""listen":"here",{settings}"#)),
+        "listen: 'here' is not an address with a port"
+    );
+    let empty = rejection(r#""listen":"127.0.0.1:1","settings":{}"#);
     assert_eq!(empty, "settings.services: no class of call is named");
-    assert!(bad(&format!(r#""listen":"127.0.0.1:1","seed":"x",{settings}"#)).starts_with("seed: "));
+    assert!(rejection(&format!(r#""listen":"127.0.0.1:1","seed":"x",{settings}"#)).starts_with("seed: "));
 }
--- a/agent/src/fleet/command.rs
+++ b/agent/src/fleet/command.rs
@@ -1,5 +1,5 @@
-//! `steprelay fleet`: staff's commands, and what they print. Exit code 0 for done, 1 for refused or not
-//! possible now, 2 for wrong use.
+//! `steprelay fleet`: the operators' commands and their output. Exit code 0 for done, 1 for refused or not
+//! possible now, 2 for incorrect usage.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,18 +11,18 @@
 use steprelay_fleet::Millis;
 
 use super::config::{check_name, FleetConfig, FleetConfigError};
-use super::control::{ask, ControlError, CopyRow, MemberRow, Request, Response, WorkRow};
+use super::control::{send_request, ControlError, CopyRow, MaintenanceRow, MemberRow, Request, Response};
 
-/// A script that waits asks so often.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// A program that is being started again, or a council without a leader for a while, is waited for so long.
-const NOT_THERE: Duration = Duration::from_secs(30);
+/// Interval at which `work wait` polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Time for which `work wait` tolerates a program that restarts or a cluster without a leader.
+const MAX_UNAVAILABLE: Duration = Duration::from_secs(30);
 
-/// Ask and command the fleet, by way of the call agent of a file on this machine.
+/// Query and control the fleet through the call agent on this machine.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fleet")]
 pub struct Fleet {
-    /// the file that the call agent serves the fleet with
+    /// the fleet file that the call agent uses
     #[argh(option)]
     fleet: PathBuf,
     #[argh(subcommand)]
@@ -43,21 +43,21 @@
     Copies(CopiesCommand),
 }
 
-/// Keep all machines in until `resume`; those that are out return as ever.
+/// Start no work on machines until `resume`; machines that are out return as usual.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "pause")]
 struct Pause {
-    /// why, for those who ask what their machine waits for
+    /// the reason, shown to those who ask why a machine waits
     #[argh(option, default = "String::from(\"staff said so\")")]
     reason: String,
 }
 
-/// Let machines go to work again.
+/// Allow work on machines again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "resume")]
 struct Resume {}
 
-/// List the streams of promises that this member writes or holds copies of.
+/// List the streams of call records that this member writes or holds copies of.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "copies")]
 struct CopiesCommand {
@@ -66,7 +66,7 @@
     json: bool,
 }
 
-/// List the members and how they are.
+/// List the members and their state.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "members")]
 struct Members {
@@ -75,7 +75,7 @@
     json: bool,
 }
 
-/// Work on machines.
+/// Manage work on machines.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "work")]
 struct Work {
@@ -95,7 +95,7 @@
     Wait(Wait),
 }
 
-/// Say that a machine needs work: a call agent's by its name, a check server's by its id.
+/// Request work on a machine: a call agent's by its name, a check server's by its id.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "add")]
 struct Add {
@@ -104,18 +104,18 @@
     /// how long it may be out: 90s, 10m, 2h
     #[argh(option, long = "for", from_str_fn(duration))]
     for_: Millis,
-    /// why, for those who read the list
+    /// the reason, shown in the list
     #[argh(option, default = "String::new()")]
     reason: String,
-    /// a machine whose work must be over before; may be named more than once
+    /// a machine whose work must be over first; may be given more than once
     #[argh(option)]
     after: Vec<String>,
-    /// how long the request stands if nothing comes of it
+    /// how long the request stays valid if it is not granted
     #[argh(option, from_str_fn(duration))]
     within: Option<Millis>,
 }
 
-/// List the work that was asked for and what became of it.
+/// List the requested work and its state.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 struct List {
@@ -135,7 +135,7 @@
     json: bool,
 }
 
-/// Take a request back; a machine that is out returns.
+/// Withdraw a request; a machine that is out returns.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "withdraw")]
 struct Withdraw {
@@ -154,7 +154,7 @@
     for_: Millis,
 }
 
-/// Say that the work is over: the machine returns.
+/// Report that the work is over: the machine returns.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "done")]
 struct Done {
@@ -162,7 +162,7 @@
     machine: String,
 }
 
-/// Wait until a machine is out. Exit code 1 where it will not be.
+/// Wait until a machine is out. Exit code 1 if that will not happen.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "wait")]
 struct Wait {
@@ -173,25 +173,25 @@
     within: Option<Millis>,
 }
 
-/// Say that all machines, or those of a zone, need work.
+/// Request work on all machines, or on those of a zone.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "roll")]
 struct Roll {
-    /// those of this zone
+    /// the machines of this zone
     #[argh(option)]
     zone: Option<String>,
-    /// all of them
+    /// all machines
     #[argh(switch)]
     all: bool,
     /// how long each may be out: 90s, 10m, 2h
     #[argh(option, long = "for", from_str_fn(duration), default = "600_000")]
     for_: Millis,
-    /// why, for those who read the list
+    /// the reason, shown in the list
     #[argh(option, default = "\"roll\".into()")]
     reason: String,
 }
 
-/// Say why a machine has not been let go yet.
+/// Explain why work on a machine has not been granted yet.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 struct Explain {
@@ -199,7 +199,7 @@
     machine: String,
 }
 
-/// Say that a machine is gone for good: it counts as out no more.
+/// Remove a machine that is lost for good: it no longer counts as out.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "forget")]
 struct Forget {
@@ -207,7 +207,7 @@
     machine: String,
 }
 
-/// Found a new council from what this member knows, where the majority of the old one is lost for good.
+/// Found a new council from this member's state, after the majority of the old one is lost for good.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "refound")]
 struct Refound {}
@@ -229,7 +229,7 @@
     Usage(String),
 }
 
-/// A time as staff write it, in milliseconds.
+/// Parses a duration of a command line, such as `90s`, into milliseconds.
 pub fn duration(text: &str) -> Result<Millis, String> {
     let split = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let (number, unit) = text.split_at(split);
@@ -261,7 +261,7 @@
 
     fn carry_out(self) -> Result<(), CommandError> {
         let config = FleetConfig::load(&self.fleet)?;
-        let ask = |request: Request| match ask(&config.directory, &request)? {
+        let ask = |request: Request| match send_request(&config.directory, &request)? {
             Response::Refused { why } => Err(CommandError::Refused(why)),
             response => Ok(response),
         };
@@ -301,14 +301,14 @@
                 if json {
                     return print_json(&rows);
                 }
-                let alarm = may_be_lost(&rows, &config);
+                let tolerance = loss_tolerance(&rows, &config);
                 let rows = rows.into_iter().map(|row| {
                     let (epoch, records) = (row.epoch.to_string(), row.records.to_string());
                     let holders = row.holders.join(", ");
                     vec![row.stream, row.writer, epoch, records, row.under_copied.to_string(), holders]
                 });
                 print_table(["STREAM", "WRITER", "EPOCH", "RECORDS", "UNDER-COPIED", "HELD BY"], rows);
-                println!("{} may be lost now: {alarm}", config.name);
+                println!("{} may be lost now: {tolerance}", config.name);
             }
             FleetCommand::Roll(roll) => return roll.run(ask),
             FleetCommand::Work(Work { command }) => return command.run(ask),
@@ -317,14 +317,16 @@
     }
 }
 
-/// Whether the machine of a file may be lost with its disk, by what it writes, and else why not.
-fn may_be_lost(rows: &[CopyRow], config: &FleetConfig) -> String {
+/// Says whether the member's machine may be lost with its disk without losing a call, or why not.
+fn loss_tolerance(rows: &[CopyRow], config: &FleetConfig) -> String {
     let copies = config.copies.map_or(0, |copies| copies.limits.replicas);
     let own = || rows.iter().filter(|row| row.writer == config.name && row.records > 0);
-    let lacking: u64 = own().map(|row| row.under_copied).sum();
+    let under_replicated: u64 = own().map(|row| row.under_copied).sum();
     match own().map(|row| row.holders.len()).min() {
         Some(0) => "no: nobody holds its promises".into(),
-        _ if lacking > 0 => format!("no: {lacking} of its promises are held by fewer than {copies} others"),
+        _ if under_replicated > 0 => {
+            format!("no: {under_replicated} of its promises are held by fewer than {copies} others")
+        }
         Some(holders) if holders < copies => {
             format!("yes, and no other after it: {holders} of {copies} hold copies")
         }
@@ -338,8 +340,8 @@
             return Err(CommandError::Usage("name a zone with --zone, or say --all".into()));
         }
         let members = members(ask(Request::Members)?);
-        let wanted = |row: &&MemberRow| self.zone.as_ref().is_none_or(|zone| row.zone == *zone);
-        let names: Vec<&MemberRow> = members.iter().filter(wanted).collect();
+        let in_zone = |row: &&MemberRow| self.zone.as_ref().is_none_or(|zone| row.zone == *zone);
+        let names: Vec<&MemberRow> = members.iter().filter(in_zone).collect();
         if names.is_empty() {
             return Err(CommandError::Refused("no member is in that zone".into()));
         }
@@ -396,11 +398,11 @@
     ask: impl Fn(Request) -> Result<Response, CommandError>,
 ) -> Result<(), CommandError> {
     let started = Instant::now();
-    let mut answered = started;
+    let mut last_response = started;
     loop {
         match ask(Request::Work) {
             Ok(response) => {
-                answered = Instant::now();
+                last_response = Instant::now();
                 let row = work(response).into_iter().find(|row| row.machine == machine);
                 match row.as_ref().map_or("", |row| row.state.as_str()) {
                     "out" => return Ok(()),
@@ -411,15 +413,15 @@
                     state => return Err(CommandError::Refused(format!("work on {machine} is {state}"))),
                 }
             }
-            // The program may be on its way to come back; but not for ever.
-            Err(error) if answered.elapsed() >= NOT_THERE => return Err(error),
+            // The program may be restarting; the wait is limited.
+            Err(error) if last_response.elapsed() >= MAX_UNAVAILABLE => return Err(error),
             Err(CommandError::Control(_)) => {}
             Err(error) => return Err(error),
         }
         if within.is_some_and(|within| started.elapsed() >= Duration::from_millis(within)) {
             return Err(CommandError::Refused(format!("{machine} is not out yet")));
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -430,14 +432,14 @@
     }
 }
 
-fn work(response: Response) -> Vec<WorkRow> {
+fn work(response: Response) -> Vec<MaintenanceRow> {
     match response {
         Response::Work { work } => work,
         _ => Vec::new(),
     }
 }
 
-fn show(rows: Vec<WorkRow>, json: bool) -> Result<(), CommandError> {
+fn show(rows: Vec<MaintenanceRow>, json: bool) -> Result<(), CommandError> {
     if json {
         return print_json(&rows);
     }
@@ -478,7 +480,7 @@
     use super::duration;
 
     #[test]
-    fn times_are_read_as_staff_write_them() {
+    fn durations_are_parsed() {
         for (text, time) in
             [("10m", 600_000), ("90s", 90_000), ("2h", 7_200_000), ("250ms", 250), ("1d", 86_400_000)]
         {
--- a/agent/src/fleet/config.rs
+++ b/agent/src/fleet/config.rs
@@ -1,4 +1,4 @@
-//! The file that `--fleet` names: the same for all members of a fleet, but for their names and addresses.
+//! The file that `--fleet` names: the same for all members of a cluster except for names and addresses.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -11,15 +11,16 @@
 use steprelay_fleet::Millis;
 use toml::Spanned;
 
-/// A name of a cluster, a member or a zone, at most.
-const LONGEST_NAME: usize = 64;
-/// Seeds and founders, at most.
-const MOST_SEEDS: usize = 64;
-const MOST_FOUNDERS: usize = 5;
-/// Copies of what a call agent holds for others, at most.
-const MOST_COPIES: usize = 8;
-/// A fleet that must be calm for longer than a day before a grant never grants.
-const LONGEST_CALM: f64 = 86_400.0;
+/// Maximum length of the name of a cluster, member or zone.
+const MAX_NAME_LENGTH: usize = 64;
+/// Limits of the number of seeds and of founders.
+const MAX_SEEDS: usize = 64;
+const MAX_FOUNDERS: usize = 5;
+/// Limit of the replicas of a stream.
+const MAX_REPLICAS: usize = 8;
+/// Limit of `calm_s`: a cluster that has to be calm for longer than a day before an approval would never
+/// approve.
+const MAX_CALM_SECONDS: f64 = 86_400.0;
 
 #[derive(Debug, thiserror::Error)]
 pub enum FleetConfigError {
@@ -28,38 +29,38 @@
     #[error("{}: {error}", path.display())]
     NotToml { path: PathBuf, error: Box<toml::de::Error> },
     #[error("{}, line {line}, {key}: {why}", path.display())]
-    Wrong { path: PathBuf, line: usize, key: &'static str, why: String },
+    Invalid { path: PathBuf, line: usize, key: &'static str, why: String },
 }
 
-/// What the file says, checked.
+/// The validated contents of the file.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     pub cluster: String,
     pub name: String,
     pub zone: String,
     pub listen: SocketAddr,
-    /// Where others reach this member, if that is not where it listens.
+    /// The address at which other members reach this one, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
     pub seeds: Vec<SocketAddr>,
     pub founders: Vec<String>,
-    /// For what must last. Relative to the file.
+    /// Directory of the persisted state, relative to the file.
     pub directory: PathBuf,
     pub limits: Limits,
-    /// Set-ups a second that this call agent can take; 0 where that is not known.
+    /// Capacity in thousandths of a set-up per second; 0 where it is not known.
     pub capacity_milli: u64,
-    /// The minor version that is spoken.
+    /// The minor protocol version to use.
     pub minor: u16,
-    /// What this call agent holds for others is copied to other members, where this is there.
+    /// Replication of the call records; off where this is `None`.
     pub copies: Option<CopiesConfig>,
 }
 
-/// The table `[copies]`, checked.
+/// The validated table `[copies]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopiesConfig {
     pub limits: ReplicationPolicy,
-    /// Callers hear that their calls stand once enough others hold that; else at once.
+    /// Callers are answered once enough replicas are acknowledged; else at once.
     pub after_copies: bool,
-    /// Set-ups are refused while too few others could take copies; else they are served without.
+    /// Set-ups are refused while too few members can hold replicas; else they are served without replication.
     pub refuse_short: bool,
 }
 
@@ -134,20 +135,20 @@
     Spanned::new(0..0, Vec::new())
 }
 
-/// Where something is wrong in a text that was read.
+/// Validates values and reports the line of an invalid one.
 struct Checker<'a> {
     path: &'a Path,
     text: &'a str,
 }
 
 impl Checker<'_> {
-    fn wrong(&self, span: Range<usize>, key: &'static str, why: impl Into<String>) -> FleetConfigError {
+    fn invalid(&self, span: Range<usize>, key: &'static str, why: impl Into<String>) -> FleetConfigError {
         let line = 1 + self.text.bytes().take(span.start).filter(|byte| *byte == b'\n').count();
-        FleetConfigError::Wrong { path: self.path.into(), line, key, why: why.into() }
+        FleetConfigError::Invalid { path: self.path.into(), line, key, why: why.into() }
     }
 
     fn name(&self, name: &Spanned<String>, key: &'static str) -> Result<String, FleetConfigError> {
-        check_name(name.get_ref()).map_err(|why| self.wrong(name.span(), key, why))?;
+        check_name(name.get_ref()).map_err(|why| self.invalid(name.span(), key, why))?;
         Ok(name.get_ref().clone())
     }
 
@@ -159,37 +160,41 @@
         anywhere: bool,
     ) -> Result<SocketAddr, FleetConfigError> {
         let address: SocketAddr = text.parse().map_err(|_| {
-            self.wrong(span.clone(), key, format!("'{}' is no address with a port", text.escape_debug()))
+            self.invalid(
+                span.clone(),
+                key,
+                format!("'{}' is not an address with a port", text.escape_debug()),
+            )
         })?;
         if !anywhere && !address.ip().is_loopback() {
             let why = format!("{address} is no loopback address; beyond_loopback = true allows it");
-            return Err(self.wrong(span, key, why));
+            return Err(self.invalid(span, key, why));
         }
         Ok(address)
     }
 
-    /// One of two words.
+    /// Whether the value is `one`; it must be `one` or `other`.
     fn either(
         &self,
-        word: &Spanned<String>,
+        value: &Spanned<String>,
         key: &'static str,
         one: &str,
         other: &str,
     ) -> Result<bool, FleetConfigError> {
-        match word.get_ref().as_str() {
-            word if word == one => Ok(true),
-            word if word == other => Ok(false),
-            _ => Err(self.wrong(word.span(), key, format!("\"{one}\" or \"{other}\""))),
+        match value.get_ref().as_str() {
+            text if text == one => Ok(true),
+            text if text == other => Ok(false),
+            _ => Err(self.invalid(value.span(), key, format!("\"{one}\" or \"{other}\""))),
         }
     }
 
     fn copies(&self, raw: &RawCopies) -> Result<CopiesConfig, FleetConfigError> {
         let (replicas, required_acks) = (*raw.copies.get_ref(), *raw.needed.get_ref());
-        if !(1..=MOST_COPIES).contains(&replicas) {
-            return Err(self.wrong(raw.copies.span(), "copies.copies", format!("1 to {MOST_COPIES}")));
+        if !(1..=MAX_REPLICAS).contains(&replicas) {
+            return Err(self.invalid(raw.copies.span(), "copies.copies", format!("1 to {MAX_REPLICAS}")));
         }
         if required_acks > replicas {
-            return Err(self.wrong(
+            return Err(self.invalid(
                 raw.needed.span(),
                 "copies.needed",
                 format!("more than the copies, {replicas}"),
@@ -198,11 +203,11 @@
         let after_copies = self.either(&raw.answer, "copies.answer", "after-copies", "at-once")?;
         if after_copies && required_acks == 0 {
             let why = "0 waits for nobody; answer = \"at-once\" says so";
-            return Err(self.wrong(raw.needed.span(), "copies.needed", why));
+            return Err(self.invalid(raw.needed.span(), "copies.needed", why));
         }
         if let Some(directory) = &raw.directory {
             let why = "copies on disk are not there yet";
-            return Err(self.wrong(directory.span(), "copies.directory", why));
+            return Err(self.invalid(directory.span(), "copies.directory", why));
         }
         Ok(CopiesConfig {
             limits: ReplicationPolicy { replicas, required_acks },
@@ -211,29 +216,32 @@
         })
     }
 
-    /// A figure between two bounds.
-    fn figure(&self, figure: &Spanned<f64>, key: &'static str, most: f64) -> Result<f64, FleetConfigError> {
-        let value = *figure.get_ref();
-        if (0.0..=most).contains(&value) {
-            return Ok(value);
+    /// A value from 0 to `most`.
+    fn bounded(&self, value: &Spanned<f64>, key: &'static str, most: f64) -> Result<f64, FleetConfigError> {
+        let number = *value.get_ref();
+        if (0.0..=most).contains(&number) {
+            return Ok(number);
         }
-        Err(self.wrong(figure.span(), key, format!("{value} is not between 0 and {most}")))
+        Err(self.invalid(value.span(), key, format!("{number} is not between 0 and {most}")))
     }
 }
 
-/// Whether a name can be one of a member, a zone or a cluster.
+/// Checks a name of a member, a zone or a cluster.
+///
+/// # Errors
+/// The name is empty, too long or has other characters than the allowed ones.
 pub fn check_name(name: &str) -> Result<(), String> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if name.is_empty() || name.len() > LONGEST_NAME || !name.chars().all(fits) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(is_allowed) {
         return Err(format!(
-            "'{}' is no name: 1 to {LONGEST_NAME} letters, digits, '-', '_' or '.'",
+            "'{}' is no name: 1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' or '.'",
             name.escape_debug()
         ));
     }
     Ok(())
 }
 
-/// The number of a check server by the name that the platform gives it, `s-0000000a`.
+/// The number of a check server, from its name on the platform, such as `s-0000000a`.
 pub fn server_number(name: &str) -> Option<u32> {
     let hex = name.strip_prefix("s-").filter(|hex| (1..=8).contains(&hex.len()))?;
     u32::from_str_radix(hex, 16).ok()
@@ -243,7 +251,7 @@
     /// Reads and checks the file.
     ///
     /// # Errors
-    /// It can't be read, or something in it is wrong; the error names the file, the line and the key.
+    /// The file cannot be read, or a value is invalid; the error names the file, the line and the key.
     pub fn load(path: &Path) -> Result<Self, FleetConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| FleetConfigError::Unreadable { path: path.into(), error })?;
@@ -257,37 +265,41 @@
         let anywhere = raw.beyond_loopback;
         let name = check.name(&raw.name, "name")?;
         if server_number(&name).is_some() {
-            return Err(check.wrong(raw.name.span(), "name", format!("'{name}' names a check server")));
+            return Err(check.invalid(raw.name.span(), "name", format!("'{name}' names a check server")));
         }
         let one =
             |address: &Spanned<String>, key| check.address(address.get_ref(), address.span(), key, anywhere);
         let seeds = raw.seeds.get_ref();
-        if seeds.len() > MOST_SEEDS {
-            return Err(check.wrong(raw.seeds.span(), "seeds", format!("more than {MOST_SEEDS}")));
+        if seeds.len() > MAX_SEEDS {
+            return Err(check.invalid(raw.seeds.span(), "seeds", format!("more than {MAX_SEEDS}")));
         }
         let founders = raw.founders.get_ref();
-        let named = |why: String| check.wrong(raw.founders.span(), "founders", why);
-        if founders.is_empty() || founders.len() > MOST_FOUNDERS {
-            return Err(named(format!("1 to {MOST_FOUNDERS} names, best 3 or 5")));
+        let named = |why: String| check.invalid(raw.founders.span(), "founders", why);
+        if founders.is_empty() || founders.len() > MAX_FOUNDERS {
+            return Err(named(format!("1 to {MAX_FOUNDERS} names, best 3 or 5")));
         }
         for (place, founder) in founders.iter().enumerate() {
             check_name(founder).map_err(named)?;
             if founders[..place].contains(founder) {
-                return Err(named(format!("'{founder}' stands twice")));
+                return Err(named(format!("'{founder}' is listed twice")));
             }
         }
         if raw.directory.get_ref().as_os_str().is_empty() {
-            return Err(check.wrong(raw.directory.span(), "directory", "no directory is named"));
+            return Err(check.invalid(raw.directory.span(), "directory", "no directory is named"));
         }
         let work = &raw.work;
         if *work.most_out.get_ref() == 0 {
-            return Err(check.wrong(work.most_out.span(), "work.most_out", "0 would never let a machine go"));
+            return Err(check.invalid(
+                work.most_out.span(),
+                "work.most_out",
+                "0 would never let a machine go",
+            ));
         }
         let minor = match &raw.speaks {
             None => MINOR,
             Some(speaks) => {
                 (0..=MINOR).find(|minor| *speaks.get_ref() == format!("{MAJOR}.{minor}")).ok_or_else(
-                    || check.wrong(speaks.span(), "speaks", format!("{MAJOR}.0 to {MAJOR}.{MINOR}")),
+                    || check.invalid(speaks.span(), "speaks", format!("{MAJOR}.0 to {MAJOR}.{MINOR}")),
                 )?
             }
         };
@@ -307,10 +319,10 @@
             directory: path.parent().unwrap_or(Path::new("")).join(raw.directory.get_ref()),
             limits: Limits {
                 max_out: *work.most_out.get_ref(),
-                reserve: check.figure(&work.reserve, "work.reserve", 100.0)?,
-                calm_ms: (check.figure(&work.calm_s, "work.calm_s", LONGEST_CALM)? * 1000.0) as Millis,
+                reserve: check.bounded(&work.reserve, "work.reserve", 100.0)?,
+                calm_ms: (check.bounded(&work.calm_s, "work.calm_s", MAX_CALM_SECONDS)? * 1000.0) as Millis,
             },
-            capacity_milli: (check.figure(&work.capacity, "work.capacity", 1e9)? * 1000.0) as u64,
+            capacity_milli: (check.bounded(&work.capacity, "work.capacity", 1e9)? * 1000.0) as u64,
             name,
         })
     }
@@ -320,7 +332,7 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"cluster = "kl"
+    const VALID: &str = r#"cluster = "kl"
 name = "n1"
 zone = "z1"
 listen = "127.0.0.1:7801"
@@ -335,28 +347,33 @@
 "#;
 
     #[test]
-    fn a_good_file_is_read_with_its_bounds() {
-        let config = FleetConfig::read(Path::new("/etc/fleet/n1.toml"), GOOD).expect("good");
+    fn a_valid_file_is_read_with_its_limits() {
+        let config = FleetConfig::read(Path::new("/etc/fleet/n1.toml"), VALID).expect("good");
         assert_eq!(config.directory, Path::new("/etc/fleet/state"));
         assert_eq!(config.limits, Limits { max_out: 1, reserve: 1.0, calm_ms: 2_500 });
         assert_eq!(config.copies, None, "off without its table");
-        let config = FleetConfig::read(Path::new("n1.toml"), &format!("{GOOD}[copies]\n")).expect("defaults");
+        let config =
+            FleetConfig::read(Path::new("n1.toml"), &format!("{VALID}[copies]\n")).expect("defaults");
         let limits = ReplicationPolicy { replicas: 2, required_acks: 1 };
         assert_eq!(config.copies, Some(CopiesConfig { limits, after_copies: true, refuse_short: false }));
-        let short = GOOD.split("[work]").next().expect("a part");
+        let short = VALID.split("[work]").next().expect("a part");
         let config = FleetConfig::read(Path::new("n1.toml"), short).expect("defaults");
         assert_eq!(config.limits, Limits { max_out: 1, reserve: 0.2, calm_ms: 30_000 });
     }
 
     #[test]
-    fn what_is_wrong_names_its_file_line_and_key() {
+    fn errors_name_the_file_line_and_key() {
         for (from, to, said) in [
             ("\"kl\"", "\"\"", "f.toml, line 1, cluster: '' is no name"),
             ("\"n1\"\nzone", "\"s-0a\"\nzone", "f.toml, line 2, name: 's-0a' names a check server"),
-            ("\"127.0.0.1:7801\"", "\"here\"", "f.toml, line 4, listen: 'here' is no address with a port"),
+            (
+                "\"127.0.0.1:7801\"",
+                "\"here\"",
+                "f.toml, line 4, listen: 'here' is not an address with a port",
+            ),
             ("\"127.0.0.1:7801\"", "\"10.0.0.1:1\"", "f.toml, line 4, listen: 10.0.0.1:1 is no loopback"),
-            ("[\"127.0.0.2:7801\"]", "[\"x\"]", "f.toml, line 5, seeds: 'x' is no address"),
-            ("\"n2\", \"n3\"", "\"n1\"", "f.toml, line 6, founders: 'n1' stands twice"),
+            ("[\"127.0.0.2:7801\"]", "[\"x\"]", "f.toml, line 5, seeds: 'x' is not an address"),
+            ("\"n2\", \"n3\"", "\"n1\"", "f.toml, line 6, founders: 'n1' is listed twice"),
             ("[\"n1\", \"n2\", \"n3\"]", "[]", "f.toml, line 6, founders: 1 to 5 names"),
             ("\"state\"", "\"\"", "f.toml, line 7, directory: no directory"),
             ("most_out = 1", "most_out = 0", "f.toml, line 10, work.most_out: 0 would"),
@@ -387,15 +404,15 @@
                 "f.toml, line 10, copies.directory: copies on disk",
             ),
         ] {
-            assert!(GOOD.contains(from), "{from}");
-            let text = GOOD.replacen(from, to, 1);
+            assert!(VALID.contains(from), "{from}");
+            let text = VALID.replacen(from, to, 1);
             let error = FleetConfig::read(Path::new("f.toml"), &text).expect_err(said).to_string();
             assert!(error.contains(said), "{error} does not say {said}");
         }
     }
 
     #[test]
-    fn check_servers_have_names_of_their_own() {
+    fn check_server_names_are_recognized() {
         assert_eq!(server_number("s-0000000a"), Some(10));
         assert_eq!(server_number("s-"), None);
         assert_eq!(server_number("n1"), None);
--- a/agent/src/fleet/control.rs
+++ b/agent/src/fleet/control.rs
@@ -1,5 +1,6 @@
-//! How staff's commands reach the program of a fleet's file on the same machine: a socket in its directory,
-//! a line of JSON each way. Who may read the directory may command.
+//! The local control socket: operators' commands reach the member on the same machine through a Unix socket
+//! in the cluster directory, with one line of JSON each way. Access to the directory gives access to the
+//! commands.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::fd::{AsRawFd, OwnedFd};
@@ -15,15 +16,15 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Commands of staff at once, and those that wait for the fleet's thread.
-const MOST: usize = 16;
-/// A command is a line of at most so many octets, and comes within this.
-const LONGEST: u64 = 16 * 1024;
-const LINE_WITHIN: Duration = Duration::from_secs(2);
-/// An answer takes no longer than the council has for it, and some.
-const ANSWER_WITHIN: Duration = Duration::from_secs(12);
+/// Limit of concurrent control connections.
+const MAX_CONNECTIONS: usize = 16;
+/// Limits of a request: its length in octets, and the time until its line is received.
+const MAX_REQUEST_LENGTH: u64 = 16 * 1024;
+const LINE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit of the wait for a response: longer than the cluster's own limit for a command.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// What staff want. `Pause` with a reason keeps all machines in, and without one lets them go on.
+/// An operator's request. `Pause` with a reason stops new maintenance, and without one resumes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "ask")]
 pub enum Request {
@@ -48,12 +49,12 @@
     pub address: String,
     pub voter: bool,
     pub leader: bool,
-    /// What it speaks; empty where it was not heard yet.
+    /// Its protocol version; empty until a message of it is received.
     pub version: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkRow {
+pub struct MaintenanceRow {
     pub machine: String,
     pub state: String,
     pub grant: Option<u64>,
@@ -61,12 +62,12 @@
     pub reason: String,
     pub for_s: u64,
     pub after: Vec<String>,
-    /// Seconds in this state, and until it is overdue (below 0: since).
+    /// Seconds in this state, and seconds until the request is overdue (negative: since then).
     pub since_s: u64,
     pub due_s: Option<i64>,
 }
 
-/// A stream of copies that is written or held by the member that was asked.
+/// A replication stream whose primary or replica is the responding member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyRow {
     pub stream: String,
@@ -74,7 +75,7 @@
     pub epoch: u64,
     pub records: u64,
     pub holders: Vec<String>,
-    /// Records that fewer hold than should, as its writer knows.
+    /// Records with fewer replicas than configured, as the primary knows.
     pub under_copied: u64,
 }
 
@@ -85,7 +86,7 @@
     Refused { why: String },
     Text { text: String },
     Members { members: Vec<MemberRow> },
-    Work { work: Vec<WorkRow> },
+    Work { work: Vec<MaintenanceRow> },
     Copies { copies: Vec<CopyRow> },
 }
 
@@ -99,16 +100,20 @@
     NotJson(#[from] serde_json::Error),
 }
 
-/// The socket's name as the kernel takes it: a directory's own path may be longer than a socket's may.
-fn short(directory: &Path) -> std::io::Result<(OwnedFd, PathBuf)> {
+/// A path of the socket that is short enough for a socket address, however long the directory's path is. The
+/// path is valid while the returned descriptor is open.
+fn short_socket_path(directory: &Path) -> std::io::Result<(OwnedFd, PathBuf)> {
     let opened: OwnedFd = std::fs::File::open(directory)?.into();
     let path = PathBuf::from(format!("/proc/self/fd/{}/control", opened.as_raw_fd()));
     Ok((opened, path))
 }
 
-/// Listens in a directory; a socket that a process before this one left goes.
+/// Listens in a directory; removes the socket of an earlier process.
+///
+/// # Errors
+/// The directory cannot be opened, or the socket cannot be replaced.
 pub fn listen(directory: &Path) -> std::io::Result<UnixListener> {
-    let (_opened, path) = short(directory)?;
+    let (_opened, path) = short_socket_path(directory)?;
     match std::fs::remove_file(&path) {
         Err(error) if error.kind() != std::io::ErrorKind::NotFound => return Err(error),
         _ => {}
@@ -116,41 +121,41 @@
     UnixListener::bind(path)
 }
 
-/// A request, and where its answer goes.
-pub type Asked = (Request, oneshot::Sender<Response>);
+/// A request, and the sender of its response.
+pub type PendingRequest = (Request, oneshot::Sender<Response>);
 
-/// Takes commands and hands them to the fleet's owner.
-pub async fn serve(listener: UnixListener, asked: mpsc::Sender<Asked>) {
-    let places = std::sync::Arc::new(tokio::sync::Semaphore::new(MOST));
+/// Accepts control connections and passes their requests to the cluster thread.
+pub async fn serve(listener: UnixListener, requests: mpsc::Sender<PendingRequest>) {
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = std::sync::Arc::clone(&places).acquire_owned().await else { return };
+        let Ok(permit) = std::sync::Arc::clone(&permits).acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let asked = asked.clone();
+        let requests = requests.clone();
         spawn_local(async move {
-            // Whoever asked may have gone meanwhile.
-            let _ = answer_one(stream, asked).await;
-            drop(place);
+            // The requester may have disconnected.
+            let _ = serve_connection(stream, requests).await;
+            drop(permit);
         });
     }
 }
 
-async fn answer_one(stream: UnixStream, asked: mpsc::Sender<Asked>) -> std::io::Result<()> {
+async fn serve_connection(stream: UnixStream, requests: mpsc::Sender<PendingRequest>) -> std::io::Result<()> {
     let (read, mut write) = stream.into_split();
     let mut line = String::new();
-    let mut reader = tokio::io::BufReader::new(read.take(LONGEST));
-    let response = match timeout(LINE_WITHIN, reader.read_line(&mut line)).await {
+    let mut reader = tokio::io::BufReader::new(read.take(MAX_REQUEST_LENGTH));
+    let response = match timeout(LINE_TIMEOUT, reader.read_line(&mut line)).await {
         Ok(Ok(0)) => return Ok(()),
         Ok(read) => {
             read?;
             match serde_json::from_str(&line) {
                 Ok(request) => {
                     let (answer, answered) = oneshot::channel();
-                    let sent = asked.send((request, answer)).await;
-                    let told = timeout(ANSWER_WITHIN, answered).await;
-                    match (sent, told) {
+                    let sent = requests.send((request, answer)).await;
+                    let response = timeout(RESPONSE_TIMEOUT, answered).await;
+                    match (sent, response) {
                         (Ok(()), Ok(Ok(response))) => response,
                         _ => Response::Refused { why: "the program is stopping".into() },
                     }
@@ -158,25 +163,25 @@
                 Err(error) => Response::Refused { why: format!("the command can't be read: {error}") },
             }
         }
-        Err(_) => Response::Refused { why: "no whole line came".into() },
+        Err(_) => Response::Refused { why: "no complete line was received in time".into() },
     };
     let mut text = serde_json::to_vec(&response)?;
     text.push(b'\n');
-    timeout(LINE_WITHIN, write.write_all(&text)).await?
+    timeout(LINE_TIMEOUT, write.write_all(&text)).await?
 }
 
-/// Asks the program that serves from a directory.
+/// Sends a request to the program that serves from a directory; returns its response.
 ///
 /// # Errors
-/// None does, or it gives no answer in time.
-pub fn ask(directory: &Path, request: &Request) -> Result<Response, ControlError> {
+/// No program serves there, it does not respond in time, or the response is not valid JSON.
+pub fn send_request(directory: &Path, request: &Request) -> Result<Response, ControlError> {
     let connect = || {
-        let (_opened, path) = short(directory)?;
+        let (_opened, path) = short_socket_path(directory)?;
         StdStream::connect(path)
     };
     let stream = connect().map_err(|error| ControlError::NotThere { path: directory.into(), error })?;
     let exchange = || {
-        stream.set_read_timeout(Some(ANSWER_WITHIN + LINE_WITHIN))?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT + LINE_TIMEOUT))?;
         let mut text = serde_json::to_vec(request)?;
         text.push(b'\n');
         (&stream).write_all(&text)?;
--- a/agent/src/fleet/copies.rs
+++ b/agent/src/fleet/copies.rs
@@ -1,5 +1,5 @@
-//! Copies on the fleet's thread: hands to [`Member`] what the program notes and what others say, and carries
-//! its words and news on.
+//! Replication on the cluster thread: passes the program's notes and other members' messages to [`Member`],
+//! and its messages and events on.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,21 +19,21 @@
 use super::control::CopyRow;
 use crate::ports::copies::{record, Lease, Note};
 
-/// Notes taken at once before anything else is looked at.
-const AT_ONCE: usize = 4_096;
+/// Notes recorded in one turn, before other events are handled.
+const MAX_NOTES_PER_TURN: usize = 4_096;
 
 pub struct Copies {
     member: Member,
     lease: Arc<Lease>,
     notes: mpsc::Receiver<Note>,
-    news: mpsc::Sender<ReplicationEvent>,
+    events: mpsc::Sender<ReplicationEvent>,
     /// Events that the channel had no capacity for yet.
-    waiting: VecDeque<ReplicationEvent>,
-    /// Somebody waits for what is noted to be held; else it goes out with the next tick, many notes in one
-    /// word.
+    unsent: VecDeque<ReplicationEvent>,
+    /// Callers wait until notes are replicated; otherwise notes go out with the next tick, many in one
+    /// message.
     urgent: bool,
-    /// A lease that others gave, but that the program is not told of before the news ahead of it.
-    leased: Option<Millis>,
+    /// The lease last published to the program, where it holds only after the events that precede it.
+    published_lease: Option<Millis>,
 }
 
 impl Copies {
@@ -42,22 +42,22 @@
         me: &swim::Member,
         lease: Arc<Lease>,
         notes: mpsc::Receiver<Note>,
-        news: mpsc::Sender<ReplicationEvent>,
+        events: mpsc::Sender<ReplicationEvent>,
     ) -> Self {
         let member = Member::new(&me.name, &me.zone, me.boot, config.limits);
         let urgent = config.after_copies;
-        Copies { member, lease, notes, news, waiting: VecDeque::new(), urgent, leased: None }
+        Copies { member, lease, notes, events, unsent: VecDeque::new(), urgent, published_lease: None }
     }
 
-    /// The next note of the program; those that wait with it are taken too.
+    /// Returns the program's next note.
     pub async fn next(&mut self) -> Option<Note> {
         self.notes.recv().await
     }
 
-    /// Takes notes; whether they are to go out at once.
-    pub fn note(&mut self, now: Millis, first: Note) -> bool {
+    /// Records `first` and the notes queued behind it; returns whether they must be sent at once.
+    pub fn record(&mut self, now: Millis, first: Note) -> bool {
         let mut next = Some(first);
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_NOTES_PER_TURN {
             match next {
                 Some(Note::Promise(call, promise)) => self.member.record_change(call.0, promise.map(record)),
                 Some(Note::All(all)) => {
@@ -67,7 +67,7 @@
                 Some(Note::PassedOn(call)) => self.member.announce_release(now, call.0),
                 Some(Note::Acknowledged(call)) => self.member.release_acknowledged(call.0),
                 Some(Note::Given(call)) => self.member.release_delivered(now, call.0),
-                Some(Note::Confirmed(question)) => self.member.confirm(question),
+                Some(Note::Confirmed(request)) => self.member.confirm(request),
                 Some(Note::Relinquished(calls)) => {
                     self.member.relinquish(now, calls.into_iter().map(|call| call.0).collect());
                 }
@@ -78,21 +78,21 @@
         self.urgent
     }
 
-    /// Takes the notes that wait.
-    pub fn note_waiting(&mut self, now: Millis) {
+    /// Records the queued notes.
+    pub fn record_queued(&mut self, now: Millis) {
         if let Ok(first) = self.notes.try_recv() {
-            self.note(now, first);
+            self.record(now, first);
         }
     }
 
     pub fn received(&mut self, now: Millis, from: &swim::Member, bytes: &[u8]) {
-        // Spoilt words settle nothing.
+        // Unreadable messages are ignored.
         if let Ok(message) = postcard::from_bytes::<Message>(bytes) {
             self.member.handle_message(now, &from.name, from.boot, message);
         }
     }
 
-    /// Time has passed: what the fleet knows by now counts.
+    /// Advances the time, with the node's current view of the cluster.
     pub fn tick(&mut self, now: Millis, node: &mut Node) {
         let cluster_state = node.cluster_state();
         let stream_owners = cluster_state.stream_owners.iter().map(|(stream, by)| StreamOwner {
@@ -129,35 +129,35 @@
         node.set_streams(writes.collect(), holds.collect());
     }
 
-    /// Says what is new, and tells the program what came of it.
-    pub fn turn(&mut self, now: Millis, node: &mut Node) {
+    /// Sends new messages to other members, and events and the lease to the program.
+    pub fn send(&mut self, now: Millis, node: &mut Node) {
         self.member.poll(now);
         for (to, message) in self.member.take_messages() {
-            // Nothing that a word holds can fail to be written into memory.
+            // Every value that a message holds can be serialized, and memory takes all of it.
             node.send_replication(&to, postcard::to_stdvec(&message).unwrap_or_default());
         }
-        while let Some(news) = self.member.next_event() {
-            self.waiting.push_back(news);
+        while let Some(event) = self.member.next_event() {
+            self.unsent.push_back(event);
         }
-        while let Some(news) = self.waiting.pop_front() {
-            if let Err(mpsc::error::TrySendError::Full(news)) = self.news.try_send(news) {
-                self.waiting.push_front(news);
+        while let Some(event) = self.unsent.pop_front() {
+            if let Err(mpsc::error::TrySendError::Full(event)) = self.events.try_send(event) {
+                self.unsent.push_front(event);
                 break;
             }
         }
-        if node.lease() != self.leased {
-            self.leased = node.lease();
-            self.lease.set(self.leased.unwrap_or(0), self.member.stats().ownership_losses);
+        if node.lease() != self.published_lease {
+            self.published_lease = node.lease();
+            self.lease.set(self.published_lease.unwrap_or(0), self.member.stats().ownership_losses);
         }
     }
 
-    pub fn figures(&self) -> ReplicationStats {
+    pub fn stats(&self) -> ReplicationStats {
         self.member.stats()
     }
 
-    /// A row for each stream that is written or held here.
+    /// Returns a row for each stream whose primary or replica is here.
     pub fn rows(&self) -> Vec<CopyRow> {
-        let written = self.member.primaries().map(|primary| CopyRow {
+        let primaries = self.member.primaries().map(|primary| CopyRow {
             stream: format!("{:x}", primary.stream().0),
             writer: self.member.name().into(),
             epoch: primary.epoch(),
@@ -165,8 +165,8 @@
             holders: primary.holders().map(str::to_string).collect(),
             under_copied: primary.under_replicated() as u64,
         });
-        let held = self.member.holder().replicas().filter(|(_, replica)| replica.sequence() > 0);
-        let held = held.map(|(stream, replica)| CopyRow {
+        let replicas = self.member.holder().replicas().filter(|(_, replica)| replica.sequence() > 0);
+        let replicas = replicas.map(|(stream, replica)| CopyRow {
             stream: format!("{:x}", stream.0),
             writer: replica.primary().into(),
             epoch: replica.epoch(),
@@ -174,6 +174,6 @@
             holders: vec![self.member.name().into()],
             under_copied: 0,
         });
-        written.chain(held).collect()
+        primaries.chain(replicas).collect()
     }
 }
--- a/agent/src/fleet/frames.rs
+++ b/agent/src/fleet/frames.rs
@@ -1,12 +1,12 @@
-//! Frames of links between members: a length (4 octets), the version of the speaker (2 and 2), and an
-//! [`Envelope`].
+//! Frames of links between members: a length (4 octets), the sender's major and minor version (2 octets
+//! each), and an [`Envelope`].
 
 use steprelay_fleet::messages::{Envelope, MAJOR, MINOR};
 
-/// A frame is no longer than this, its length not counted.
-pub const LONGEST: usize = 1 << 20;
-/// The length, and the two halves of the version.
-pub const HEAD: usize = 8;
+/// Maximum length of a frame in octets, without the length field.
+pub const MAX_FRAME_LENGTH: usize = 1 << 20;
+/// Octets of the header: the length and both versions.
+pub const HEADER_LENGTH: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
@@ -20,11 +20,11 @@
     Unreadable,
 }
 
-/// The frame of an envelope, in its sender's version.
+/// Encodes an envelope as a frame of its sender's version.
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
-    // Nothing that an envelope holds can fail to be written into memory.
+    // Every value that an envelope holds can be serialized, and memory takes all of it.
     let body = postcard::to_stdvec(envelope).unwrap_or_default();
-    let mut frame = Vec::with_capacity(HEAD + body.len());
+    let mut frame = Vec::with_capacity(HEADER_LENGTH + body.len());
     frame.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
     frame.extend_from_slice(&MAJOR.to_be_bytes());
     frame.extend_from_slice(&envelope.minor.to_be_bytes());
@@ -32,22 +32,22 @@
     frame
 }
 
-/// How many octets follow the length.
+/// Returns how many octets follow the length field.
 ///
 /// # Errors
-/// No frame is so long, or so short.
+/// The length is out of bounds.
 pub fn length(head: [u8; 4]) -> Result<usize, FrameError> {
     match u32::from_be_bytes(head) as usize {
-        long if long > LONGEST => Err(FrameError::TooLong(long)),
+        long if long > MAX_FRAME_LENGTH => Err(FrameError::TooLong(long)),
         short if short < 4 => Err(FrameError::TooShort(short)),
         fits => Ok(fits),
     }
 }
 
-/// Reads what follows the length; `None` where a newer version says something that is not known here.
+/// Decodes the octets after the length field; `None` for a message that only a newer minor version knows.
 ///
 /// # Errors
-/// The version is another one, or nothing can be made of it.
+/// The major version differs, or the frame is unreadable.
 pub fn decode(frame: &[u8]) -> Result<Option<Envelope>, FrameError> {
     let (Some((major, rest)), 4..) = (frame.split_first_chunk::<2>(), frame.len()) else {
         return Err(FrameError::TooShort(frame.len()));
@@ -96,42 +96,48 @@
     }
 
     #[test]
-    fn what_is_said_is_heard() {
+    fn an_encoded_frame_decodes_to_its_envelope() {
         for payload in
             [Payload::Hello, Payload::Leaving, Payload::Raft(vec![1, 2, 3]), Payload::Rejected("no".into())]
         {
-            let said = envelope(payload);
-            assert_eq!(decode(body(&encode(&said))), Ok(Some(said)));
+            let sent = envelope(payload);
+            assert_eq!(decode(body(&encode(&sent))), Ok(Some(sent)));
         }
     }
 
-    /// While machines are worked on, versions are mixed: a newer one of the same kind is understood as far as
-    /// it goes.
+    /// During maintenance versions are mixed: of a newer minor version, the known part is decoded.
     #[test]
-    fn a_newer_minor_version_is_understood_as_far_as_it_goes() {
-        let said = Envelope { minor: 4, ..envelope(Payload::Hello) };
-        let mut newer = encode(&said);
+    fn the_known_part_of_a_newer_minor_version_is_decoded() {
+        let sent = Envelope { minor: 4, ..envelope(Payload::Hello) };
+        let mut newer = encode(&sent);
         newer.extend_from_slice(b"a field that is new");
         let frame = [&(newer.len() as u32 - 4).to_be_bytes()[..], &newer[4..]].concat();
-        assert_eq!(decode(body(&frame)), Ok(Some(said.clone())), "what it adds at the end is passed over");
-        // Its payload is of a kind that is not known here: its number is the last octet of a greeting.
-        let mut unknown = encode(&said);
+        assert_eq!(decode(body(&frame)), Ok(Some(sent.clone())), "fields added at the end are ignored");
+        // An unknown kind of payload: the last octet of a greeting is the number of its kind.
+        let mut unknown = encode(&sent);
         *unknown.last_mut().expect("a frame") = 99;
-        assert_eq!(decode(body(&unknown)), Ok(None), "and what it says beside is left");
+        assert_eq!(decode(body(&unknown)), Ok(None), "an unknown payload is ignored");
         *unknown.last_mut().expect("a frame") = 0;
-        unknown[HEAD - 1] = 0;
+        unknown[HEADER_LENGTH - 1] = 0;
         assert!(decode(body(&unknown)).is_ok());
         let mut ours = encode(&envelope(Payload::Hello));
         *ours.last_mut().expect("a frame") = 99;
-        assert_eq!(decode(body(&ours)), Err(FrameError::Unreadable), "of our own version that is no word");
+        assert_eq!(
+            decode(body(&ours)),
+            Err(FrameError::Unreadable),
+            "in this version the payload is invalid"
+        );
     }
 
     #[test]
-    fn another_version_and_impossible_lengths_are_refused() {
+    fn other_major_versions_and_invalid_lengths_are_rejected() {
         let mut other = encode(&envelope(Payload::Hello));
         other[5] = MAJOR as u8 + 1;
         assert_eq!(decode(&other[4..]), Err(FrameError::Version(MAJOR + 1, MINOR)));
-        assert_eq!(length((LONGEST as u32 + 1).to_be_bytes()), Err(FrameError::TooLong(LONGEST + 1)));
+        assert_eq!(
+            length((MAX_FRAME_LENGTH as u32 + 1).to_be_bytes()),
+            Err(FrameError::TooLong(MAX_FRAME_LENGTH + 1))
+        );
         assert_eq!(length(3u32.to_be_bytes()), Err(FrameError::TooShort(3)));
         for short in 0..4 {
             assert_eq!(decode(&vec![0; short]), Err(FrameError::TooShort(short)));
@@ -140,7 +146,7 @@
 
     proptest! {
         #[test]
-        fn nothing_that_comes_can_hurt(
+        fn decoding_arbitrary_bytes_never_panics(
             mut bytes in proptest::collection::vec(any::<u8>(), 0..400),
             ours: bool,
         ) {
--- a/agent/src/fleet/mod.rs
+++ b/agent/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! This call agent's part in a fleet: off unless `--fleet` names a file. A thread of its own talks with the
-//! other members and keeps what must last; a task beside the owner of the core tells it how this call agent
-//! is, and does what the fleet wants of it.
+//! Membership of a cluster, off unless `--fleet` names a file. A separate thread exchanges messages with the
+//! other members and persists the cluster's state. A task beside the owner of the core reports this call
+//! agent's status to that thread and carries out the cluster's directives.
 
 pub mod command;
 pub mod config;
@@ -35,54 +35,56 @@
 use crate::ports::{Input, OnDuty, Shared, Snapshot};
 use config::FleetConfig;
 use copies::Copies;
-use owner::{Ends, FleetOwner};
+use owner::{Channels, FleetOwner};
 use store::{Store, StoreError};
 
-/// This call agent's figures go to the fleet so often.
-const LOOK: Duration = Duration::from_millis(200);
-/// In standby set-ups are taken for so long: before that nothing is said of an empty machine.
-const STILL_TAKEN: Micros = 2_000_000;
-/// The load is a mean over so many seconds.
-const MEAN_S: f64 = 5.0;
-/// Classes and their servers that are told of, at most.
-const MOST_TOLD: usize = 64;
-/// Notes of promises that may wait for the fleet's thread, and news that may wait for the program.
-const NOTES: usize = 16_384;
-const NEWS: usize = 1_024;
-/// The fleet's thread gets so long to say farewell.
-const FAREWELL: Duration = Duration::from_millis(500);
+/// Interval at which this call agent's status is reported.
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
+/// Set-ups are still accepted for this long after the change to standby, so the machine is not reported as
+/// free of calls before.
+const STANDBY_ACCEPT_MICROS: Micros = 2_000_000;
+/// Time constant of the load's moving average, in seconds.
+const LOAD_AVERAGE_SECONDS: f64 = 5.0;
+/// Limit of the classes, and of the servers of each, in a status report.
+const MAX_REPORTED: usize = 64;
+/// Capacities of the queues of notes towards the cluster thread and of replication events towards the
+/// program.
+const NOTE_QUEUE_CAPACITY: usize = 16_384;
+const EVENT_QUEUE_CAPACITY: usize = 1_024;
+/// Limit of the time the cluster thread gets to leave the cluster.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     #[error("fleet: {0}")]
     Store(#[from] StoreError),
     #[error("fleet: {0}")]
-    Council(#[from] ConsensusError),
+    Consensus(#[from] ConsensusError),
     #[error("fleet: {what}: {error}")]
     Io { what: String, error: io::Error },
 }
 
-/// What the fleet wants of this call agent.
+/// The cluster's directives to this call agent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wanted {
-    /// It is to send its clients away, by this grant.
-    pub away: Option<u64>,
-    /// Check servers that get no new set-ups, each with its grant.
+pub struct Directives {
+    /// Clients are to be drained, under this approval.
+    pub drain_approval: Option<u64>,
+    /// Check servers that get no new set-ups, each with its approval.
     pub held: BTreeMap<u32, u64>,
 }
 
-/// The fleet's thread, seen from the program.
-pub struct Fleet {
+/// Handle of the cluster thread.
+pub struct FleetThread {
     stop: Option<oneshot::Sender<()>>,
     ended: oneshot::Receiver<()>,
 }
 
-impl Fleet {
-    /// Begins to serve the fleet. Where this machine was out for work, clients are sent away from the start.
-    /// With `[copies]` comes the end by which the owner of the core has its promises copied.
+impl FleetThread {
+    /// Starts the cluster thread. Where this machine was out for maintenance, clients are drained from the
+    /// start. With `[copies]`, also returns the owner of the core's end of replication.
     ///
     /// # Errors
-    /// The directory can't be used, or the address can't be listened on.
+    /// The directory cannot be used, or the address cannot be listened on.
     pub fn start(config: FleetConfig, shared: Shared) -> Result<(Self, Option<CopiesEnd>), FleetError> {
         let io = |what: String| move |error| FleetError::Io { what, error };
         let seed = shared.new_call().0;
@@ -90,13 +92,13 @@
             std::net::TcpListener::bind(config.listen).map_err(io(format!("listen {}", config.listen)))?;
         listener.set_nonblocking(true).map_err(io("listen".into()))?;
         let listens = listener.local_addr().map_err(io("listen".into()))?;
-        let disk = drawn().map_err(io("/dev/urandom".into()))?;
-        let boot = drawn().map_err(io("/dev/urandom".into()))?;
-        let (store, page, kept) =
+        let disk = random_u64().map_err(io("/dev/urandom".into()))?;
+        let boot = random_u64().map_err(io("/dev/urandom".into()))?;
+        let (store, page, log) =
             Store::open(&config.directory, &config.cluster, &config.name, || PersistentState::first(disk))?;
         let control = {
             let directory = config.directory.display().to_string();
-            // Listens from now on: whoever reads the line below may ask.
+            // Listens before the log line below is printed, after which clients may connect.
             control::listen(&config.directory).map_err(io(directory))?
         };
         let control = control.into_std().map_err(io("control".into()))?;
@@ -114,33 +116,33 @@
             limits: config.limits,
             minor: config.minor,
         };
-        let (status, statuses) = watch::channel(Status::default());
-        let (wanted, mut wants) = watch::channel(Wanted::default());
-        let (figures, shown) = watch::channel((Metrics::default(), None));
+        let (status, status_receiver) = watch::channel(Status::default());
+        let (directives, mut directive_receiver) = watch::channel(Directives::default());
+        let (metrics, metrics_receiver) = watch::channel((Metrics::default(), None));
         let started = Instant::now();
         let lease = Arc::new(Lease::new(started));
-        let (notes, noted) = mpsc::channel(NOTES);
-        let (news, comes) = mpsc::channel(NEWS);
-        let copied = config.copies.map(|copied| {
+        let (notes, note_receiver) = mpsc::channel(NOTE_QUEUE_CAPACITY);
+        let (events, event_receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+        let replication = config.copies.map(|copies| {
             let end = CopiesEnd {
                 notes,
                 lease: lease.clone(),
-                after_copies: copied.after_copies,
-                refuse_short: copied.refuse_short,
+                after_copies: copies.after_copies,
+                refuse_short: copies.refuse_short,
             };
-            spawn_local(tell_news(shared.inputs.clone(), comes));
-            (end, Copies::new(copied, &me, lease, noted, news))
+            spawn_local(forward_replication_events(shared.inputs.clone(), event_receiver));
+            (end, Copies::new(copies, &me, lease, note_receiver, events))
         });
-        let (end, copies) = copied.unzip();
+        let (end, copies) = replication.unzip();
         let ((stop, stops), (done, ended)) = (oneshot::channel(), oneshot::channel());
         let (ready, is_ready) = std::sync::mpsc::channel();
-        let ends = Ends { status: statuses, wanted, figures, copies, stop: stops };
+        let channels = Channels { status: status_receiver, directives, metrics, copies, stop: stops };
         let (seeds, from) = (config.seeds, SocketAddr::new(listens.ip(), 0));
         let thread = std::thread::Builder::new().name("fleet".into());
         let run = move || {
-            let node = match Node::new(0, setup, me, page, &kept, seed) {
+            let node = match Node::new(0, setup, me, page, &log, seed) {
                 Ok(node) => node,
-                Err(error) => return drop(ready.send(Err(FleetError::Council(error)))),
+                Err(error) => return drop(ready.send(Err(FleetError::Consensus(error)))),
             };
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = match runtime {
@@ -148,7 +150,7 @@
                 Err(error) => return drop(ready.send(Err(FleetError::Io { what: "runtime".into(), error }))),
             };
             let served = tokio::task::LocalSet::new().block_on(&runtime, async {
-                let (mut owner, comes) = FleetOwner::new(from, node, store, started, seeds, ends);
+                let (mut owner, events) = FleetOwner::new(from, node, store, started, seeds, channels);
                 if let Err(error) = owner.carry_out() {
                     let _ = ready.send(Err(error.into()));
                     return Ok(Ok(()));
@@ -156,23 +158,23 @@
                 let listener = TcpListener::from_std(listener)?;
                 let control = tokio::net::UnixListener::from_std(control)?;
                 let _ = ready.send(Ok(()));
-                Ok::<_, io::Error>(owner.run(comes, listener, control).await)
+                Ok::<_, io::Error>(owner.run(events, listener, control).await)
             });
             match served {
                 Ok(Ok(())) => {}
-                Ok(Err(error)) => eprintln!("steprelay: fleet: this member keeps still: {error}"),
-                Err(error) => eprintln!("steprelay: fleet: this member keeps still: {error}"),
+                Ok(Err(error)) => eprintln!("steprelay: fleet: this member stops participating: {error}"),
+                Err(error) => eprintln!("steprelay: fleet: this member stops participating: {error}"),
             }
             let _ = done.send(());
         };
         thread.spawn(run).map_err(io("thread".into()))?;
         is_ready.recv().unwrap_or(Ok(()))?;
         eprintln!("steprelay: serving the fleet on {listens}");
-        // Ahead of the first caller: what the directory tells holds from the start.
-        let done = wants.borrow_and_update().clone();
+        // The persisted directives apply before the first caller is accepted.
+        let applied = directive_receiver.borrow_and_update().clone();
         let first = [
-            (!done.held.is_empty()).then(|| Input::Hold(servers(&done.held))),
-            done.away.map(|_| Input::Duty(OnDuty::Standby, oneshot::channel().0)),
+            (!applied.held.is_empty()).then(|| Input::Hold(server_ids(&applied.held))),
+            applied.drain_approval.map(|_| Input::Duty(OnDuty::Standby, oneshot::channel().0)),
         ];
         for input in first.into_iter().flatten() {
             shared
@@ -180,79 +182,89 @@
                 .try_send(input)
                 .map_err(|full| io("queue".into())(io::Error::other(full.to_string())))?;
         }
-        spawn_local(follow(shared, wants, done, status, shown, config.capacity_milli));
-        Ok((Fleet { stop: Some(stop), ended }, end))
+        spawn_local(synchronize(
+            shared,
+            directive_receiver,
+            applied,
+            status,
+            metrics_receiver,
+            config.capacity_milli,
+        ));
+        Ok((FleetThread { stop: Some(stop), ended }, end))
     }
 
-    /// Says farewell to the other members, for so long at most.
-    pub async fn leave(mut self, within: Duration) {
+    /// Sends the leave messages and waits for the thread, at most `limit` and the leave timeout.
+    pub async fn leave(mut self, limit: Duration) {
         drop(self.stop.take());
-        let _ = tokio::time::timeout(within.min(FAREWELL), &mut self.ended).await;
+        let _ = tokio::time::timeout(limit.min(LEAVE_TIMEOUT), &mut self.ended).await;
     }
 }
 
-/// Tells the owner of the core what comes of copies.
-async fn tell_news(inputs: mpsc::Sender<Input>, mut comes: mpsc::Receiver<ReplicationEvent>) {
-    while let Some(news) = comes.recv().await {
-        if inputs.send(Input::Copies(news)).await.is_err() {
+/// Forwards replication events to the owner of the core.
+async fn forward_replication_events(
+    inputs: mpsc::Sender<Input>,
+    mut events: mpsc::Receiver<ReplicationEvent>,
+) {
+    while let Some(event) = events.recv().await {
+        if inputs.send(Input::Copies(event)).await.is_err() {
             return;
         }
     }
 }
 
-/// A number that no other start or disk has.
-fn drawn() -> io::Result<u64> {
+/// A random number, to tell starts and disks apart.
+fn random_u64() -> io::Result<u64> {
     let mut bytes = [0; 8];
     io::Read::read_exact(&mut std::fs::File::open("/dev/urandom")?, &mut bytes)?;
     Ok(u64::from_ne_bytes(bytes))
 }
 
-fn servers(held: &BTreeMap<u32, u64>) -> Vec<ServerId> {
+fn server_ids(held: &BTreeMap<u32, u64>) -> Vec<ServerId> {
     held.keys().map(|number| ServerId(*number)).collect()
 }
 
-/// Does what the fleet wants beyond what is `done`, and tells it how this call agent is.
-async fn follow(
+/// Carries out the directives that differ from those `applied`, and reports this call agent's status.
+async fn synchronize(
     shared: Shared,
-    mut wants: watch::Receiver<Wanted>,
-    mut done: Wanted,
+    mut directives: watch::Receiver<Directives>,
+    mut applied: Directives,
     status: watch::Sender<Status>,
-    shown: watch::Receiver<(Metrics, Option<ReplicationStats>)>,
+    metrics: watch::Receiver<(Metrics, Option<ReplicationStats>)>,
     capacity_milli: u64,
 ) {
-    let mut look = interval(LOOK);
-    look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(STATUS_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut load = Load::default();
-    // Since when clients are sent away.
-    let mut since = shared.clock.now();
+    // Since when clients are drained.
+    let mut drained_since = shared.clock.now();
     loop {
         tokio::select! {
             biased;
-            changed = wants.changed() => if changed.is_err() { return },
-            _ = look.tick() => {}
+            changed = directives.changed() => if changed.is_err() { return },
+            _ = ticks.tick() => {}
         }
-        let (figures, copies) = shown.borrow().clone();
+        let (figures, copies) = metrics.borrow().clone();
         shared.fleet.replace(Some(figures));
         shared.copies.set(copies);
-        let wanted = wants.borrow_and_update().clone();
-        if wanted.held != done.held {
-            done.held.clone_from(&wanted.held);
-            if shared.inputs.send(Input::Hold(servers(&done.held))).await.is_err() {
+        let directive = directives.borrow_and_update().clone();
+        if directive.held != applied.held {
+            applied.held.clone_from(&directive.held);
+            if shared.inputs.send(Input::Hold(server_ids(&applied.held))).await.is_err() {
                 return;
             }
         }
-        if wanted.away != done.away {
-            let duty = if wanted.away.is_some() { OnDuty::Standby } else { OnDuty::Active };
+        if directive.drain_approval != applied.drain_approval {
+            let duty = if directive.drain_approval.is_some() { OnDuty::Standby } else { OnDuty::Active };
             let (ask, answer) = oneshot::channel();
             if shared.inputs.send(Input::Duty(duty, ask)).await.is_err() {
                 return;
             }
-            // Refused where the program stops, which is as good as away.
+            // Refused only while the program stops, which drains clients as well.
             let _ = answer.await;
-            if done.away.is_none() {
-                since = shared.clock.now();
+            if applied.drain_approval.is_none() {
+                drained_since = shared.clock.now();
             }
-            done.away = wanted.away;
+            applied.drain_approval = directive.drain_approval;
         }
         let (ask, answer) = oneshot::channel();
         if shared.inputs.send(Input::Snapshot(ask)).await.is_err() {
@@ -260,18 +272,18 @@
         }
         let Ok(figures) = answer.await else { return };
         let now = shared.clock.now();
-        let leaving = done.away.is_some() && now < since + STILL_TAKEN;
-        let mut told = tell(&figures, &shared, &done.held);
-        told.load_milli = load.look(now, figures.counts.offered);
-        told.capacity_milli = capacity_milli;
-        told.calls += u32::from(leaving);
-        if status.send(told).is_err() {
+        let still_accepting = applied.drain_approval.is_some() && now < drained_since + STANDBY_ACCEPT_MICROS;
+        let mut report = status_report(&figures, &shared, &applied.held);
+        report.load_milli = load.update(now, figures.counts.offered);
+        report.capacity_milli = capacity_milli;
+        report.calls += u32::from(still_accepting);
+        if status.send(report).is_err() {
             return;
         }
     }
 }
 
-/// Set-ups offered a second, as a mean of the last seconds.
+/// Moving average of the set-ups offered per second.
 #[derive(Default)]
 struct Load {
     last: Option<(Micros, u64)>,
@@ -279,30 +291,29 @@
 }
 
 impl Load {
-    fn look(&mut self, now: Micros, offered: u64) -> u64 {
+    fn update(&mut self, now: Micros, offered: u64) -> u64 {
         if let Some((at, before)) = self.last.filter(|(at, _)| now > *at) {
             let seconds = (now - at) as f64 / 1e6;
             let rate = offered.saturating_sub(before) as f64 / seconds;
-            self.mean += (rate - self.mean) * (1.0 - (-seconds / MEAN_S).exp());
+            self.mean += (rate - self.mean) * (1.0 - (-seconds / LOAD_AVERAGE_SECONDS).exp());
         }
         self.last = Some((now, offered));
         (self.mean * 1000.0) as u64
     }
 }
 
-fn tell(figures: &Snapshot, shared: &Shared, held: &BTreeMap<u32, u64>) -> Status {
+fn status_report(figures: &Snapshot, shared: &Shared, held: &BTreeMap<u32, u64>) -> Status {
     let up = |server: &&(steprelay_decisions::Entry, _, _)| server.0.state == Readiness::Ready;
-    let classes = shared.site.decisions.classes.iter().take(MOST_TOLD).map(|class| {
-        let fits =
+    let classes = shared.site.decisions.classes.iter().take(MAX_REPORTED).map(|class| {
+        let may_serve =
             |number: u32| class.allowed_servers.as_ref().is_none_or(|servers| servers.contains(&number));
-        // Those that are held would serve it, were they not.
-        let serving = figures
-            .servers
-            .iter()
-            .filter(|server| (up(server) || held.contains_key(&server.0.server.0)) && fits(server.0.number));
-        serving.map(|(entry, ..)| entry.server.0).take(MOST_TOLD).collect()
+        // Includes held servers, which would serve the class once they are released.
+        let serving = figures.servers.iter().filter(|server| {
+            (up(server) || held.contains_key(&server.0.server.0)) && may_serve(server.0.number)
+        });
+        serving.map(|(entry, ..)| entry.server.0).take(MAX_REPORTED).collect()
     });
-    let stands = |server: u32| figures.held.contains(&(ServerId(server), true));
+    let has_established = |server: u32| figures.held.contains(&(ServerId(server), true));
     Status {
         serving: figures.duty == State::Serving,
         load_milli: 0,
@@ -313,7 +324,7 @@
         held: held
             .iter()
             .filter(|(server, _)| figures.held.iter().any(|(known, _)| known.0 == **server))
-            .map(|(server, grant)| (*server, *grant, stands(*server)))
+            .map(|(server, approval)| (*server, *approval, has_established(*server)))
             .collect(),
         classes: classes.collect(),
     }
--- a/agent/src/fleet/owner.rs
+++ b/agent/src/fleet/owner.rs
@@ -1,5 +1,5 @@
-//! The owner of this member's part in the fleet, on a thread of its own: the disk's waits and the fleet's
-//! words cost calls nothing. It hands to [`Node`] what comes, and carries out what follows in its order.
+//! Drives this member of the cluster on a separate thread, so that disk writes and cluster messages do not
+//! delay calls. Passes events to [`Node`] and carries out its effects in order.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,32 +20,32 @@
 use tokio::time::{interval, Duration, MissedTickBehavior};
 
 use super::config::server_number;
-use super::control::{self, Asked, MemberRow, Request, Response, WorkRow};
+use super::control::{self, MaintenanceRow, MemberRow, PendingRequest, Request, Response};
 use super::copies::Copies;
 use super::frames;
-use super::links::{self, Came, Links};
+use super::links::{self, LinkEvent, Links};
 use super::store::{Change, Store, StoreError};
-use super::Wanted;
+use super::Directives;
 use crate::ports::copies::Note;
 
-/// Time is looked at so often.
-const TICK: Duration = Duration::from_millis(50);
-/// Frames that wait for the owner. Links wait when it is full, and calls never do.
-const WAITING: usize = 1024;
-/// Frames taken at once before time is looked at again.
-const AT_ONCE: usize = 64;
-/// Members that are not linked are greeted so often: seeds, and one that is known.
-const GREET: Millis = 1_000;
-/// Farewells get this long to leave.
-const FAREWELL: Duration = Duration::from_millis(150);
+/// Interval of the node's timer.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Capacity of the queue of link events. When it is full, links stop reading; calls are never delayed.
+const EVENT_QUEUE_CAPACITY: usize = 1024;
+/// Link events handled in one turn, before the timers are checked again.
+const MAX_EVENTS_PER_TURN: usize = 64;
+/// Interval at which the seeds and one known member are dialled, unless there is a link to them.
+const GREETING_INTERVAL_MS: Millis = 1_000;
+/// Time for the leave messages to be sent.
+const LEAVE_DELAY: Duration = Duration::from_millis(150);
 
-/// What the owner and the program say to each other.
-pub struct Ends {
+/// The channels between the owner and the program.
+pub struct Channels {
     pub status: watch::Receiver<Status>,
-    pub wanted: watch::Sender<Wanted>,
-    pub figures: watch::Sender<(Metrics, Option<ReplicationStats>)>,
+    pub directives: watch::Sender<Directives>,
+    pub metrics: watch::Sender<(Metrics, Option<ReplicationStats>)>,
     pub copies: Option<Copies>,
-    /// Ends with its sender: the program stops.
+    /// Closed when the program stops.
     pub stop: oneshot::Receiver<()>,
 }
 
@@ -55,24 +55,24 @@
     links: Rc<RefCell<Links>>,
     started: Instant,
     seeds: Vec<SocketAddr>,
-    greeted: Millis,
-    next: usize,
-    waiting: BTreeMap<CommandId, oneshot::Sender<Response>>,
-    ends: Ends,
+    last_greeting: Millis,
+    greeting_round: usize,
+    pending_responses: BTreeMap<CommandId, oneshot::Sender<Response>>,
+    channels: Channels,
 }
 
 impl FleetOwner {
-    /// `me`: where links of our own come from, with port 0.
+    /// `me`: the source address of outgoing links, with port 0.
     pub fn new(
         me: SocketAddr,
         node: Node,
         store: Store,
         started: Instant,
         seeds: Vec<SocketAddr>,
-        ends: Ends,
-    ) -> (Self, mpsc::Receiver<Came>) {
-        let (came, comes) = mpsc::channel(WAITING);
-        let links = Links::new(me, node.me().name.clone(), came);
+        channels: Channels,
+    ) -> (Self, mpsc::Receiver<LinkEvent>) {
+        let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+        let links = Links::new(me, node.me().name.clone(), event_sender);
         let links = Rc::new(RefCell::new(links));
         (
             FleetOwner {
@@ -81,12 +81,12 @@
                 links,
                 started,
                 seeds,
-                greeted: 0,
-                next: 0,
-                waiting: BTreeMap::new(),
-                ends,
+                last_greeting: 0,
+                greeting_round: 0,
+                pending_responses: BTreeMap::new(),
+                channels,
             },
-            comes,
+            events,
         )
     }
 
@@ -97,103 +97,105 @@
     /// Serves until the program stops.
     ///
     /// # Errors
-    /// The disk refuses: this member can promise nothing more, and says nothing more.
+    /// The disk rejects a write: this member can make no further promise, and sends no further message.
     pub async fn run(
         mut self,
-        mut comes: mpsc::Receiver<Came>,
+        mut events: mpsc::Receiver<LinkEvent>,
         listener: TcpListener,
         control: UnixListener,
     ) -> Result<(), StoreError> {
-        let (asked, mut asks) = mpsc::channel::<Asked>(4);
+        let (request_sender, mut requests) = mpsc::channel::<PendingRequest>(4);
         let envelope = self.node.envelope(Payload::Hello);
         let refuse = Rc::new(move |why| {
             frames::encode(&messages::Envelope { payload: Payload::Rejected(why), ..envelope.clone() })
         });
         spawn_local(links::accept(listener, self.links.clone(), refuse));
-        spawn_local(control::serve(control, asked));
-        let mut tick = interval(TICK);
+        spawn_local(control::serve(control, request_sender));
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let mut turn = true;
+            let mut send_now = true;
             tokio::select! {
                 biased;
-                _ = &mut self.ends.stop => break,
+                _ = &mut self.channels.stop => break,
                 _ = tick.tick() => self.tick(),
-                Some(came) = comes.recv() => {
-                    // What came while the process slept is read by the time that it is now.
+                Some(event) = events.recv() => {
+                    // Events that arrived while the process was suspended are handled with the current time.
                     let now = self.now();
                     self.node.detect_stall(now);
-                    self.take(came);
-                    for _ in 1..AT_ONCE {
-                        let Ok(came) = comes.try_recv() else { break };
-                        self.take(came);
+                    self.handle_link_event(event);
+                    for _ in 1..MAX_EVENTS_PER_TURN {
+                        let Ok(event) = events.try_recv() else { break };
+                        self.handle_link_event(event);
                     }
                 }
-                Some((request, answer)) = asks.recv() => self.command(request, answer),
-                Some(note) = next_note(&mut self.ends.copies) => {
+                Some((request, answer)) = requests.recv() => self.handle_request(request, answer),
+                Some(note) = next_note(&mut self.channels.copies) => {
                     let now = self.now();
-                    turn = self.ends.copies.as_mut().is_some_and(|copies| copies.note(now, note));
+                    send_now = self.channels.copies.as_mut().is_some_and(|copies| copies.record(now, note));
                 }
             }
             self.carry_out()?;
             let now = self.now();
-            if let Some(copies) = self.ends.copies.as_mut().filter(|_| turn) {
-                copies.turn(now, &mut self.node);
+            if let Some(copies) = self.channels.copies.as_mut().filter(|_| send_now) {
+                copies.send(now, &mut self.node);
                 self.carry_out()?;
             }
         }
         let now = self.now();
-        if let Some(copies) = &mut self.ends.copies {
-            // What the program has noted by now others are told ahead of the farewell.
-            copies.note_waiting(now);
+        if let Some(copies) = &mut self.channels.copies {
+            // The notes of the program go out before the leave message.
+            copies.record_queued(now);
             copies.tick(now, &mut self.node);
-            copies.turn(now, &mut self.node);
+            copies.send(now, &mut self.node);
         }
         self.carry_out()?;
         self.node.leave_cluster(now);
         self.carry_out()?;
-        tokio::time::sleep(FAREWELL).await;
+        tokio::time::sleep(LEAVE_DELAY).await;
         Ok(())
     }
 
     fn tick(&mut self) {
         let now = self.now();
         self.node.detect_stall(now);
-        let status = self.ends.status.borrow().clone();
+        let status = self.channels.status.borrow().clone();
         self.node.set_status(status);
-        if let Some(copies) = &mut self.ends.copies {
+        if let Some(copies) = &mut self.channels.copies {
             copies.tick(now, &mut self.node);
         }
         self.node.tick(now);
-        self.links.borrow_mut().reap();
-        if now >= self.greeted + GREET {
-            self.greeted = now;
+        self.links.borrow_mut().close_expired();
+        if now >= self.last_greeting + GREETING_INTERVAL_MS {
+            self.last_greeting = now;
             let me = self.node.me().address;
             let known = self.node.addresses();
-            self.next += 1;
-            // A seed again and again, too: after a cut nobody else may know of the other side.
-            let greet = self.seeds.iter().chain(known.get(self.next % known.len().max(1)));
-            for to in greet.copied().filter(|to| *to != me).collect::<Vec<_>>() {
+            self.greeting_round += 1;
+            // Seeds are dialled repeatedly: after a network partition no other member may know the other
+            // side.
+            let targets = self.seeds.iter().chain(known.get(self.greeting_round % known.len().max(1)));
+            for to in targets.copied().filter(|to| *to != me).collect::<Vec<_>>() {
                 let hello = || frames::encode(&self.node.envelope(Payload::Hello));
                 self.links.borrow_mut().greet(to, hello);
             }
         }
         let links = self.links.borrow();
-        let figures = Metrics { unsent: links.lost, octets: links.octets, ..self.node.metrics() };
-        let figures = (figures, self.ends.copies.as_ref().map(Copies::figures));
+        let metrics =
+            Metrics { unsent: links.dropped_frames, octets: links.queued_octets, ..self.node.metrics() };
+        let metrics = (metrics, self.channels.copies.as_ref().map(Copies::stats));
         drop(links);
-        self.ends.figures.send_if_modified(|known| {
-            let changed = *known != figures;
-            *known = figures;
+        self.channels.metrics.send_if_modified(|known| {
+            let changed = *known != metrics;
+            *known = metrics;
             changed
         });
     }
 
-    fn take(&mut self, came: Came) {
-        match came {
-            Came::Frame { link, envelope } => {
+    fn handle_link_event(&mut self, event: LinkEvent) {
+        match event {
+            LinkEvent::Frame { link, envelope } => {
                 let from = envelope.from.address;
-                if !self.links.borrow_mut().heard(link, from, &envelope.payload) {
+                if !self.links.borrow_mut().record_received(link, from, &envelope.payload) {
                     return;
                 }
                 let now = self.now();
@@ -201,27 +203,27 @@
                     self.links.borrow_mut().close(from);
                 }
             }
-            Came::Strange(why) => eprintln!("steprelay: fleet: a link is closed: {why}"),
+            LinkEvent::Rejected(why) => eprintln!("steprelay: fleet: link closed: {why}"),
         }
     }
 
-    /// Carries out what follows; before [`run`](Self::run), what a start brings. What is to be kept is on
-    /// disk before the next thing is said.
+    /// Carries out the node's effects; also called before [`run`](Self::run) for the effects of the start.
+    /// Writes are on disk before the next message is sent.
     ///
     /// # Errors
-    /// The disk refuses.
+    /// The disk rejects a write.
     pub fn carry_out(&mut self) -> Result<(), StoreError> {
         let mut changes = Vec::new();
         for effect in self.node.take_effects() {
             let change = match effect {
                 Effect::WriteLog(write) => Change::Log(write),
                 Effect::Persist(page) => Change::Page(page),
-                Effect::ReplaceLog { page, log } => Change::Renew(page, log),
+                Effect::ReplaceLog { page, log } => Change::Replace(page, log),
                 other => {
                     if !changes.is_empty() {
                         self.store.write(std::mem::take(&mut changes))?;
                     }
-                    self.do_one(other);
+                    self.apply(other);
                     continue;
                 }
             };
@@ -233,29 +235,33 @@
         Ok(())
     }
 
-    fn do_one(&mut self, effect: Effect) {
+    fn apply(&mut self, effect: Effect) {
         match effect {
             Effect::Send { to, payload } => {
-                let first = matches!(payload, Payload::Welcome { .. } | Payload::Rejected(_));
+                let is_handshake = matches!(payload, Payload::Welcome { .. } | Payload::Rejected(_));
                 let frame = frames::encode(&self.node.envelope(payload));
                 let hello = || frames::encode(&self.node.envelope(Payload::Hello));
-                self.links.borrow_mut().send(to, frame, first, hello);
+                self.links.borrow_mut().send(to, frame, is_handshake, hello);
             }
             Effect::StartDrain { approval } | Effect::RemainOut { approval } => {
-                self.ends.wanted.send_modify(|wanted| wanted.away = Some(approval));
+                self.channels.directives.send_modify(|directives| directives.drain_approval = Some(approval));
             }
-            Effect::Resume => self.ends.wanted.send_modify(|wanted| wanted.away = None),
-            Effect::HoldServers(held) => self.ends.wanted.send_modify(|wanted| wanted.held = held),
-            Effect::Response { id, response: told } => {
-                if let Some(answer) = self.waiting.remove(&id) {
-                    // Whoever asked may have gone meanwhile.
-                    let _ = answer.send(response(told));
+            Effect::Resume => {
+                self.channels.directives.send_modify(|directives| directives.drain_approval = None)
+            }
+            Effect::HoldServers(held) => {
+                self.channels.directives.send_modify(|directives| directives.held = held)
+            }
+            Effect::Response { id, response: outcome } => {
+                if let Some(answer) = self.pending_responses.remove(&id) {
+                    // The requester may have disconnected.
+                    let _ = answer.send(response(outcome));
                 }
             }
             Effect::Log(line) => eprintln!("steprelay: {line}"),
             Effect::Replication { from, bytes } => {
                 let now = self.now();
-                if let Some(copies) = &mut self.ends.copies {
+                if let Some(copies) = &mut self.channels.copies {
                     copies.received(now, &from, &bytes);
                 }
             }
@@ -263,28 +269,29 @@
         }
     }
 
-    fn command(&mut self, request: Request, answer: oneshot::Sender<Response>) {
+    fn handle_request(&mut self, request: Request, answer: oneshot::Sender<Response>) {
         let now = self.now();
-        let ask = match request {
+        let leader_request = match request {
             Request::Members => {
-                let _ = answer.send(Response::Members { members: self.members() });
+                let _ = answer.send(Response::Members { members: self.member_rows() });
                 return;
             }
             Request::Work => {
-                // An empty list would be taken for the council's word.
-                let not_yet =
-                    || refused(Rejection::NotAllowed("nothing has been heard of the council yet".into()));
+                // An empty list would be taken for the cluster's answer.
+                let unknown = || refused(Rejection::NotAllowed("the cluster state is not known yet".into()));
                 let response = if self.node.has_cluster_state() {
-                    Response::Work { work: self.work() }
+                    Response::Work { work: self.maintenance_rows() }
                 } else {
-                    not_yet()
+                    unknown()
                 };
                 let _ = answer.send(response);
                 return;
             }
             Request::Copies => {
-                let off = || Response::Refused { why: "copies are off: the file has no [copies]".into() };
-                let rows = self.ends.copies.as_ref().map(Copies::rows);
+                let off = || Response::Refused {
+                    why: "replication is off: the cluster file has no [copies]".into(),
+                };
+                let rows = self.channels.copies.as_ref().map(Copies::rows);
                 let _ = answer.send(rows.map_or_else(off, |copies| Response::Copies { copies }));
                 return;
             }
@@ -307,11 +314,11 @@
             Request::Forget { machine } => LeaderRequest::Execute(Command::Forget { name: machine }),
             Request::Pause { reason } => LeaderRequest::Execute(Command::Pause { reason }),
         };
-        let id = self.node.submit(now, ask);
-        self.waiting.insert(id, answer);
+        let id = self.node.submit(now, leader_request);
+        self.pending_responses.insert(id, answer);
     }
 
-    fn members(&self) -> Vec<MemberRow> {
+    fn member_rows(&self) -> Vec<MemberRow> {
         let leader = self.node.metrics().leader;
         let voters = &self.node.cluster_state().voters;
         let row = |(member, health): (steprelay_fleet::swim::Member, Health)| MemberRow {
@@ -329,10 +336,10 @@
         self.node.members().into_iter().map(row).collect()
     }
 
-    fn work(&self) -> Vec<WorkRow> {
+    fn maintenance_rows(&self) -> Vec<MaintenanceRow> {
         let cluster_state = self.node.cluster_state();
         let time = cluster_state.time_ms;
-        let row = |item: &MaintenanceRequest| WorkRow {
+        let row = |item: &MaintenanceRequest| MaintenanceRow {
             machine: item.machine.clone(),
             state: item.state.as_str().into(),
             grant: item.approval,
@@ -346,22 +353,23 @@
                 .filter(|_| !item.state.is_over())
                 .map(|due| (due as i64 - time as i64) / 1000),
         };
-        // Of a machine that was worked on before, only the last time counts once it is asked for again.
+        // A machine's closed requests are left out where it has an open one, and all but the last one
+        // otherwise.
         let open = cluster_state.open_requests.iter().map(row);
-        let mut over: Vec<WorkRow> = Vec::new();
+        let mut closed: Vec<MaintenanceRow> = Vec::new();
         for item in cluster_state.closed_requests.iter().rev() {
-            let known = cluster_state.open_request(&item.machine).is_some()
-                || over.iter().any(|row| row.machine == item.machine);
-            if !known {
-                over.push(row(item));
+            let is_superseded = cluster_state.open_request(&item.machine).is_some()
+                || closed.iter().any(|row| row.machine == item.machine);
+            if !is_superseded {
+                closed.push(row(item));
             }
         }
-        over.reverse();
-        over.into_iter().chain(open).collect()
+        closed.reverse();
+        closed.into_iter().chain(open).collect()
     }
 }
 
-/// The program's next note; none ever comes where nothing is copied.
+/// Returns the program's next note; never completes without replication.
 async fn next_note(copies: &mut Option<Copies>) -> Option<Note> {
     match copies {
         Some(copies) => copies.next().await,
@@ -369,13 +377,13 @@
     }
 }
 
-fn refused(refusal: Rejection) -> Response {
-    Response::Refused { why: refusal.to_string() }
+fn refused(rejection: Rejection) -> Response {
+    Response::Refused { why: rejection.to_string() }
 }
 
-fn response(told: LeaderResponse) -> Response {
-    match told {
-        LeaderResponse::Outcome(outcome) => outcome.map_or_else(refused, |()| Response::Done),
+fn response(outcome: LeaderResponse) -> Response {
+    match outcome {
+        LeaderResponse::Outcome(result) => result.map_or_else(refused, |()| Response::Done),
         LeaderResponse::Text(text) => Response::Text { text },
         LeaderResponse::NotLeader(_) => refused(Rejection::NoQuorum),
     }
--- a/agent/src/fleet/store.rs
+++ b/agent/src/fleet/store.rs
@@ -1,5 +1,5 @@
-//! What a member keeps on its disk, in one file of the engine `redb`. What comes between two sends goes
-//! into one transaction, which is on disk before the second is made.
+//! The persisted state of a member, in one `redb` database. All changes between two sends go into one
+//! transaction, which is on disk before the second send.
 
 use std::path::{Path, PathBuf};
 
@@ -7,7 +7,7 @@
 use steprelay_fleet::consensus::{PersistedLog, Write};
 use steprelay_fleet::node::PersistentState;
 
-/// Entries of the council's log, by index.
+/// Entries of the consensus log, by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 /// `hard`, `snapshot`, `page` and `about`.
 const PAGES: TableDefinition<&str, &[u8]> = TableDefinition::new("pages");
@@ -20,18 +20,18 @@
     Directory { path: PathBuf, error: std::io::Error },
     #[error("{}: {error}", path.display())]
     Unusable { path: PathBuf, error: Box<redb::Error> },
-    #[error("{}: it is of {found}, not of {wanted}", path.display())]
-    NotOurs { path: PathBuf, found: String, wanted: String },
-    #[error("{}: its page can't be read", path.display())]
-    Spoilt { path: PathBuf },
+    #[error("{}: it belongs to {found}, not to {wanted}", path.display())]
+    OtherOwner { path: PathBuf, found: String, wanted: String },
+    #[error("{}: its state page cannot be read", path.display())]
+    Corrupt { path: PathBuf },
 }
 
-/// What is to be on disk next.
+/// A change to be written.
 pub enum Change {
     Log(Write),
     Page(Box<PersistentState>),
-    /// The log is another one.
-    Renew(Box<PersistentState>, Option<Write>),
+    /// Replaces the log.
+    Replace(Box<PersistentState>, Option<Write>),
 }
 
 pub struct Store {
@@ -40,10 +40,10 @@
 }
 
 impl Store {
-    /// Opens the directory's file, or makes both. A new one begins with `first`.
+    /// Opens the directory's database, or creates both; a new one starts with `first`.
     ///
     /// # Errors
-    /// It can't be used, or belongs to another cluster or member.
+    /// The database cannot be used, or belongs to another cluster or member.
     pub fn open(
         directory: &Path,
         cluster: &str,
@@ -60,16 +60,16 @@
         let wanted = format!("cluster {cluster}, member {name}, layout {LAYOUT}");
         let (about, page) = store.pages().map_err(unusable)?;
         if let Some(found) = about.filter(|found| *found != wanted) {
-            return Err(StoreError::NotOurs { path, found, wanted });
+            return Err(StoreError::OtherOwner { path, found, wanted });
         }
         let page = match page {
             Some(bytes) => {
-                PersistentState::from_bytes(&bytes).ok_or(StoreError::Spoilt { path: path.clone() })?
+                PersistentState::from_bytes(&bytes).ok_or(StoreError::Corrupt { path: path.clone() })?
             }
             None => first(),
         };
-        let kept = store.begin(&wanted).map_err(unusable)?;
-        Ok((store, page, kept))
+        let log = store.load_log(&wanted).map_err(unusable)?;
+        Ok((store, page, log))
     }
 
     fn pages(&self) -> Result<(Option<String>, Option<Vec<u8>>), redb::Error> {
@@ -84,35 +84,35 @@
         Ok(found)
     }
 
-    fn begin(&self, about: &str) -> Result<PersistedLog, redb::Error> {
+    fn load_log(&self, about: &str) -> Result<PersistedLog, redb::Error> {
         let transaction = self.database.begin_write()?;
-        let mut kept = PersistedLog::default();
+        let mut persisted = PersistedLog::default();
         {
             let mut pages = transaction.open_table(PAGES)?;
             pages.insert("about", about.as_bytes())?;
             let of = |name| {
                 Ok::<_, redb::Error>(pages.get(name)?.map_or(Vec::new(), |page| page.value().to_vec()))
             };
-            (kept.hard, kept.snapshot) = (of("hard")?, of("snapshot")?);
+            (persisted.hard, persisted.snapshot) = (of("hard")?, of("snapshot")?);
             let log = transaction.open_table(LOG)?;
             for entry in log.iter()? {
-                kept.entries.push(entry?.1.value().to_vec());
+                persisted.entries.push(entry?.1.value().to_vec());
             }
         }
         transaction.commit()?;
-        Ok(kept)
+        Ok(persisted)
     }
 
-    /// Has all of it on disk when it returns.
+    /// Writes the changes in one transaction; they are on disk on return.
     ///
     /// # Errors
-    /// The disk refuses. What was to be said after this must not be said.
+    /// The disk rejects the write. The messages that depend on it must not be sent.
     pub fn write(&self, changes: Vec<Change>) -> Result<(), StoreError> {
-        let done = self.carry_out(changes);
+        let done = self.write_transaction(changes);
         done.map_err(|error| StoreError::Unusable { path: self.path.clone(), error: Box::new(error) })
     }
 
-    fn carry_out(&self, changes: Vec<Change>) -> Result<(), redb::Error> {
+    fn write_transaction(&self, changes: Vec<Change>) -> Result<(), redb::Error> {
         let transaction = self.database.begin_write()?;
         {
             let mut pages = transaction.open_table(PAGES)?;
@@ -124,7 +124,7 @@
                         pages.insert("page", page.to_bytes().as_slice())?;
                         None
                     }
-                    Change::Renew(page, write) => {
+                    Change::Replace(page, write) => {
                         pages.insert("page", page.to_bytes().as_slice())?;
                         pages.remove("hard")?;
                         pages.remove("snapshot")?;
@@ -172,7 +172,7 @@
     }
 
     #[test]
-    fn what_was_written_is_there_at_the_next_start() {
+    fn written_state_is_read_at_the_next_start() {
         let path = directory("next");
         let first = || PersistentState::first(7);
         let (store, mut page, _) = Store::open(&path, "kl", "n1", first).expect("opens");
@@ -194,7 +194,7 @@
             Store::open(&path, "kl", "n1", || PersistentState::first(8)).expect("opens again");
         assert_eq!((page.node, page.incarnation), (7, 3));
         assert_eq!((kept.hard, kept.snapshot, kept.entries), (vec![9], vec![2], vec![vec![3], vec![44]]));
-        let renewed = Change::Renew(Box::new(PersistentState::first(9)), None);
+        let renewed = Change::Replace(Box::new(PersistentState::first(9)), None);
         store.write(vec![renewed]).expect("written");
         drop(store);
         let (_, page, kept) =
@@ -208,10 +208,10 @@
         let path = directory("other");
         let (store, ..) = Store::open(&path, "kl", "n1", || PersistentState::first(7)).expect("opens");
         let twice = Store::open(&path, "kl", "n1", || PersistentState::first(7));
-        assert!(matches!(twice, Err(StoreError::Unusable { .. })), "two processes share no directory");
+        assert!(matches!(twice, Err(StoreError::Unusable { .. })), "two processes cannot share a directory");
         drop(store);
         let other = Store::open(&path, "kl", "n2", || PersistentState::first(8));
-        assert!(matches!(other, Err(StoreError::NotOurs { .. })));
+        assert!(matches!(other, Err(StoreError::OtherOwner { .. })));
         let _ = std::fs::remove_dir_all(&path);
     }
 }
--- a/agent/src/inherited.rs
+++ b/agent/src/inherited.rs
@@ -1,4 +1,4 @@
-//! The callers' listening socket where the platform holds it and every process inherits it.
+//! The callers' listening socket, where the platform owns it and each process inherits it.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -10,7 +10,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedError {
     #[error("'{0}' is no number of a descriptor")]
-    NoNumber(String),
+    InvalidNumber(String),
     #[error("descriptor {0}: {1}")]
     Unusable(RawFd, io::Error),
     #[error("descriptor {0} is no listening TCP socket")]
@@ -19,17 +19,20 @@
     Elsewhere(RawFd, SocketAddr, SocketAddr),
 }
 
-/// Takes the descriptor of this number over, if it listens on this address.
+/// Duplicates the inherited descriptor `number` as a listener.
+///
+/// # Errors
+/// The number is not that of a TCP socket that listens on `address`.
 pub fn listener(number: &str, address: SocketAddr) -> Result<TcpListener, InheritedError> {
     let number: RawFd = match number.parse() {
         // The first three are standard input, output and error.
         Ok(number @ 3..) => number,
-        _ => return Err(InheritedError::NoNumber(number.escape_debug().to_string())),
+        _ => return Err(InheritedError::InvalidNumber(number.escape_debug().to_string())),
     };
     let unusable = |error| InheritedError::Unusable(number, error);
-    let own = own_copy(number).map_err(unusable)?;
-    let listens = SockRef::from(&own).is_listener().unwrap_or(false);
-    let listener = TcpListener::from(own);
+    let descriptor = duplicate(number).map_err(unusable)?;
+    let listens = SockRef::from(&descriptor).is_listener().unwrap_or(false);
+    let listener = TcpListener::from(descriptor);
     let bound = listener.local_addr().ok().filter(|_| listens).ok_or(InheritedError::NotListening(number))?;
     if bound != address {
         return Err(InheritedError::Elsewhere(number, bound, address));
@@ -38,11 +41,11 @@
     Ok(listener)
 }
 
-/// A descriptor of our own for the same open file; an error where the number names none.
+/// Duplicates a descriptor; an error where it is not open.
 #[allow(unsafe_code)]
-fn own_copy(number: RawFd) -> io::Result<OwnedFd> {
-    // SAFETY: the borrow ends with this line, and nothing but a copy is made of it, which the system refuses
-    // where the descriptor is not open. Nothing in this process closes a descriptor that it did not open.
+fn duplicate(number: RawFd) -> io::Result<OwnedFd> {
+    // SAFETY: the borrow ends with this line and is only duplicated, which the system rejects where the
+    // descriptor is not open. Nothing in this process closes a descriptor that it did not open.
     unsafe { BorrowedFd::borrow_raw(number) }.try_clone_to_owned()
 }
 
@@ -52,7 +55,7 @@
     use std::os::fd::AsRawFd;
 
     #[test]
-    fn only_a_listening_socket_at_the_address_is_taken() {
+    fn only_a_listening_socket_at_the_address_is_accepted() {
         let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = socket.local_addr().expect("bound");
         let number = socket.as_raw_fd().to_string();
--- a/agent/src/net/owner.rs
+++ b/agent/src/net/owner.rs
@@ -191,7 +191,7 @@
 
     pub fn take(&mut self, input: Input) {
         let now = self.shared.clock.now();
-        trace::came(&input);
+        trace::input(&input);
         self.look_at_doubt(now);
         match input {
             Input::ClientOpened { client, peer, outbox } => {
--- a/agent/src/net/owner/effects.rs
+++ b/agent/src/net/owner/effects.rs
@@ -34,7 +34,7 @@
 
     fn do_one(&mut self, effect: Effect) {
         let now = self.shared.clock.now();
-        trace::goes(&self.core, now, &effect);
+        trace::effect(&self.core, now, &effect);
         if self.copies.is_some() {
             self.look_at_doubt(now);
             if let Effect::DeliverRelease { client, call, .. } = &effect {
--- a/agent/src/ops/line.rs
+++ b/agent/src/ops/line.rs
@@ -1,4 +1,4 @@
-//! What a connection of the second address carries: one line, one answer.
+//! The operators' protocol: one command line and one response per connection.
 
 use steprelay_core::lifecycle::State;
 
@@ -7,18 +7,18 @@
 
 use crate::ports::Snapshot;
 
-/// No command is longer.
-pub const LONGEST: usize = 64;
+/// Maximum length of a command in octets.
+pub const MAX_LENGTH: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Whether this process can serve.
+    /// Reports whether this process accepts calls.
     Status,
-    /// The figures.
+    /// Reports the metrics.
     Stats,
-    /// Send clients away.
+    /// Drains the clients.
     Standby,
-    /// Back to work.
+    /// Accepts calls again.
     Active,
 }
 
@@ -30,7 +30,7 @@
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadLine {
+pub enum InvalidLine {
     #[error("no command: status, stats, standby or active")]
     Empty,
     #[error("unknown command: status, stats, standby or active")]
@@ -43,26 +43,30 @@
     NoEnd,
 }
 
-/// Looks for a command in what has come so far; `None` while its line is not whole. CR LF ends it too.
-pub fn read(bytes: &[u8]) -> Option<Result<Command, BadLine>> {
+/// Parses a command from the octets received so far; `None` while its line is incomplete. CR LF ends a line
+/// too.
+///
+/// # Errors
+/// The line is not a command, not UTF-8 or too long.
+pub fn read(bytes: &[u8]) -> Option<Result<Command, InvalidLine>> {
     let line = match bytes.iter().position(|&byte| byte == b'\n') {
-        Some(end) if end <= LONGEST => &bytes[..end],
-        None if bytes.len() <= LONGEST => return None,
-        _ => return Some(Err(BadLine::TooLong)),
+        Some(end) if end <= MAX_LENGTH => &bytes[..end],
+        None if bytes.len() <= MAX_LENGTH => return None,
+        _ => return Some(Err(InvalidLine::TooLong)),
     };
     Some(command(line))
 }
 
-fn command(line: &[u8]) -> Result<Command, BadLine> {
-    let text = std::str::from_utf8(line).map_err(|_| BadLine::NotText)?.trim();
+fn command(line: &[u8]) -> Result<Command, InvalidLine> {
+    let text = std::str::from_utf8(line).map_err(|_| InvalidLine::NotText)?.trim();
     if text.is_empty() {
-        return Err(BadLine::Empty);
+        return Err(InvalidLine::Empty);
     }
     let known = COMMANDS.iter().find(|(name, _)| *name == text);
-    known.map(|(_, command)| *command).ok_or(BadLine::Unknown)
+    known.map(|(_, command)| *command).ok_or(InvalidLine::Unknown)
 }
 
-/// Says whether work is taken: yes in one state only.
+/// The response to `status`: calls are accepted in one state only.
 pub fn status(state: State) -> &'static str {
     match state {
         State::Starting => "-ERR starting\n",
@@ -72,7 +76,8 @@
     }
 }
 
-/// The figures at one moment, a line each, and a line with a point. `classes` are the settings' names.
+/// The metrics at one moment, one per line, and a line with a single dot. `classes`: the names in the
+/// settings.
 pub fn stats(figures: &Snapshot, classes: &[String]) -> String {
     let mut text = String::from("+OK\n");
     let mut put = |name: &str, value: u64| text.push_str(&format!("edge_lb.{name}={value}\n"));
@@ -110,7 +115,7 @@
     text
 }
 
-/// The figures of copies by their names.
+/// The replication metrics by their names.
 pub fn copy_figures(copies: &ReplicationStats) -> [(&'static str, u64); 9] {
     [
         ("own", copies.own_records),
@@ -125,7 +130,7 @@
     ]
 }
 
-/// The fleet's figures by their names, in the order of the MIB.
+/// The cluster metrics by their names, in the order of the MIB.
 pub fn fleet_figures(fleet: &FleetFigures) -> [(&'static str, u64); 17] {
     [
         ("alive", fleet.alive),
@@ -153,17 +158,17 @@
     use super::*;
 
     #[test]
-    fn a_line_is_the_same_however_it_ends_and_comes() {
+    fn a_line_is_parsed_with_any_ending_and_fragmentation() {
         for (line, command) in [
             (&b"status\n"[..], Ok(Command::Status)),
             (b"stats\r\n", Ok(Command::Stats)),
             (b" standby \n", Ok(Command::Standby)),
             (b"active\nstatus\n", Ok(Command::Active)),
-            (b"\n", Err(BadLine::Empty)),
-            (b"\r\n", Err(BadLine::Empty)),
-            (b"STATUS\n", Err(BadLine::Unknown)),
-            (b"status now\n", Err(BadLine::Unknown)),
-            (b"sta\xfftus\n", Err(BadLine::NotText)),
+            (b"\n", Err(InvalidLine::Empty)),
+            (b"\r\n", Err(InvalidLine::Empty)),
+            (b"STATUS\n", Err(InvalidLine::Unknown)),
+            (b"status now\n", Err(InvalidLine::Unknown)),
+            (b"sta\xfftus\n", Err(InvalidLine::NotText)),
         ] {
             let end = line.iter().position(|&byte| byte == b'\n').expect("whole");
             for part in 0..=end {
@@ -174,10 +179,10 @@
     }
 
     #[test]
-    fn a_line_without_end_is_refused_at_the_longest() {
-        assert_eq!(read(&[b'x'; LONGEST]), None);
-        assert_eq!(read(&[b'x'; LONGEST + 1]), Some(Err(BadLine::TooLong)));
-        let long = [&[b' '; LONGEST + 1][..], b"status\n"].concat();
-        assert_eq!(read(&long), Some(Err(BadLine::TooLong)));
+    fn a_line_without_end_is_rejected_at_the_maximum_length() {
+        assert_eq!(read(&[b'x'; MAX_LENGTH]), None);
+        assert_eq!(read(&[b'x'; MAX_LENGTH + 1]), Some(Err(InvalidLine::TooLong)));
+        let long = [&[b' '; MAX_LENGTH + 1][..], b"status\n"].concat();
+        assert_eq!(read(&long), Some(Err(InvalidLine::TooLong)));
     }
 }
--- a/agent/src/ops/mod.rs
+++ b/agent/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! The second address, for operators alone: `status`, `stats`, `standby` and `active`, a line a connection.
+//! The operators' port: `status`, `stats`, `standby` and `active`, one command line per connection.
 
 pub mod line;
 
@@ -14,48 +14,48 @@
 
 use crate::ports::conn::write_all;
 use crate::ports::{Input, OnDuty, Shared};
-use line::{BadLine, Command};
+use line::{Command, InvalidLine};
 
-/// Connections at once. So many descriptors are kept back for them.
-pub const MOST: usize = 24;
-/// Who keeps a connection longer without a whole line is told so. Some take 4 s.
-const WHOLE_WITHIN: Duration = Duration::from_secs(6);
-/// An answer that nobody reads is given up after this.
-const READ_WITHIN: Duration = Duration::from_secs(2);
+/// Limit of concurrent connections. As many descriptors are reserved for them.
+pub const MAX_CONNECTIONS: usize = 24;
+/// Limit of the time to a complete line; then the connection gets an error. Some clients take 4 s.
+const LINE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Limit of the time to write a response.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The connections that have brought no whole line, the oldest first.
+/// The connections without a complete line, the oldest first.
 #[derive(Clone, Default)]
-struct Waiting(Rc<RefCell<VecDeque<(u64, AbortHandle)>>>);
+struct IncompleteConnections(Rc<RefCell<VecDeque<(u64, AbortHandle)>>>);
 
-impl Waiting {
-    fn leave(&self, number: u64) {
+impl IncompleteConnections {
+    fn remove(&self, number: u64) {
         self.0.borrow_mut().retain(|(waits, _)| *waits != number);
     }
 }
 
-/// Counts the connections that are open.
-struct Open(Rc<Cell<usize>>);
+/// Counts an open connection until it is dropped.
+struct OpenConnection(Rc<Cell<usize>>);
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Takes connections. Where too many are open, the one that has waited longest without a line makes way, so
-/// that those who say nothing keep nobody out.
+/// Accepts connections. At the limit, the oldest connection without a complete line is closed, so that idle
+/// clients keep no other out.
 pub async fn serve(listener: TcpListener, shared: Shared) {
-    let (waiting, open) = (Waiting::default(), Rc::new(Cell::new(0)));
+    let (waiting, open) = (IncompleteConnections::default(), Rc::new(Cell::new(0)));
     for number in 0.. {
-        while open.get() >= MOST {
+        while open.get() >= MAX_CONNECTIONS {
             let oldest = waiting.0.borrow_mut().pop_front();
             match oldest {
                 Some((_, task)) => {
                     task.abort();
-                    // Its descriptor is closed when the runtime next comes round to it.
+                    // Its descriptor is closed when the runtime next polls the task.
                     tokio::task::yield_now().await;
                 }
-                // All are being answered.
+                // All connections are being answered.
                 None => sleep(Duration::from_millis(5)).await,
             }
         }
@@ -64,36 +64,36 @@
             continue;
         };
         open.set(open.get() + 1);
-        let (counted, waits, shared) = (Open(open.clone()), waiting.clone(), shared.clone());
+        let (counted, waits, shared) = (OpenConnection(open.clone()), waiting.clone(), shared.clone());
         let task = spawn_local(async move {
             let _counted = counted;
-            // Whoever asked may have gone meanwhile.
-            let _ = answer_one(&stream, &shared, || waits.leave(number)).await;
-            waits.leave(number);
+            // The client may have disconnected.
+            let _ = answer_one(&stream, &shared, || waits.remove(number)).await;
+            waits.remove(number);
         });
         waiting.0.borrow_mut().push_back((number, task.abort_handle()));
     }
 }
 
-async fn answer_one(stream: &TcpStream, shared: &Shared, whole: impl FnOnce()) -> io::Result<()> {
-    let read = timeout(WHOLE_WITHIN, read_line(stream)).await;
+async fn answer_one(stream: &TcpStream, shared: &Shared, on_line: impl FnOnce()) -> io::Result<()> {
+    let read = timeout(LINE_TIMEOUT, read_line(stream)).await;
     let command = match read {
         Ok(Ok(Some(command))) => command,
         Ok(Ok(None)) => return Ok(()),
         Ok(Err(error)) => return Err(error),
-        Err(_) => Err(BadLine::NoEnd),
+        Err(_) => Err(InvalidLine::NoEnd),
     };
-    whole();
+    on_line();
     let text = match command {
-        Ok(command) => carry_out(command, shared).await.unwrap_or_else(|| "-ERR stopping\n".into()),
-        Err(bad) => format!("-ERR {bad}\n"),
+        Ok(command) => execute(command, shared).await.unwrap_or_else(|| "-ERR stopping\n".into()),
+        Err(invalid) => format!("-ERR {invalid}\n"),
     };
-    timeout(READ_WITHIN, write_all(stream, text.as_bytes())).await?
+    timeout(WRITE_TIMEOUT, write_all(stream, text.as_bytes())).await?
 }
 
-/// The command of a connection; `None` where it ends before one.
-async fn read_line(stream: &TcpStream) -> io::Result<Option<Result<Command, BadLine>>> {
-    let mut bytes = [0; line::LONGEST + 2];
+/// Reads the command of a connection; `None` where the connection ends first.
+async fn read_line(stream: &TcpStream) -> io::Result<Option<Result<Command, InvalidLine>>> {
+    let mut bytes = [0; line::MAX_LENGTH + 2];
     let mut filled = 0;
     loop {
         if let Some(command) = line::read(&bytes[..filled]) {
@@ -109,8 +109,8 @@
     }
 }
 
-/// What is answered; `None` where the owner has ended.
-async fn carry_out(command: Command, shared: &Shared) -> Option<String> {
+/// Executes a command; `None` where the owner has ended.
+async fn execute(command: Command, shared: &Shared) -> Option<String> {
     let wanted = match command {
         Command::Stats => {
             let (ask, answer) = oneshot::channel();
--- a/agent/src/serve.rs
+++ b/agent/src/serve.rs
@@ -1,4 +1,5 @@
-//! The program put together: the owner of the core, the fronts before it, the notice board and SNMP.
+//! Starts the program's parts and connects them: the owner of the core, the front ends, service discovery,
+//! the cluster, the operators' port and SNMP.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -20,7 +21,7 @@
 use crate::board;
 use crate::config::Config;
 use crate::fleet::config::FleetConfig;
-use crate::fleet::{Fleet, FleetError};
+use crate::fleet::{FleetError, FleetThread};
 use crate::front::m3ua::{self, KeptError, M3uaConfig};
 use crate::front::platform;
 use crate::net::owner::Owner;
@@ -29,16 +30,17 @@
 use crate::ports::{log, Input, LinkId, Shared, Way};
 use crate::snmp::{self, SnmpConfig};
 
-/// Inputs that may wait for the owner.
-const INPUTS: usize = 1024;
-/// The farewell of a member of a fleet has so much of the time in which the process has to end, and this much
-/// where nothing is left: without it others take its calls over only once its lease is over.
-const FAREWELL_RESERVE: Micros = 60_000;
-const FAREWELL_LEAST: Micros = 20_000;
-/// Connections of M3UA clients at once: a peer needs one, and a second while it changes over.
-const MOST_M3UA: usize = 64;
-/// Connections that the core has let go of, and that are not closed yet.
-const CLOSING: usize = 8;
+/// Capacity of the owner's input queue.
+const INPUT_QUEUE_CAPACITY: usize = 1024;
+/// Part of the shutdown deadline that is reserved for leaving the cluster, and the minimum where nothing of
+/// it is left. Without the leave message other members take over this member's calls only after its lease
+/// expires.
+const LEAVE_RESERVE_MICROS: Micros = 60_000;
+const MIN_LEAVE_MICROS: Micros = 20_000;
+/// Limit of concurrent M3UA client connections: a peer needs one, and a second one during a changeover.
+const MAX_M3UA_CONNECTIONS: usize = 64;
+/// Connections that the core has already released and that are not closed yet.
+const CLOSING_CONNECTIONS: usize = 8;
 
 /// Why the program cannot serve.
 #[derive(Debug, thiserror::Error)]
@@ -46,13 +48,17 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("configuration: {0}")]
-    Kept(#[from] KeptError),
+    PersistedState(#[from] KeptError),
     #[error("configuration: {0}")]
     Fleet(#[from] FleetError),
 }
 
-/// Serves until it is told to stop and all that was taken in is answered.
-/// `file` is the configuration's, to be read again on SIGHUP.
+/// Serves until the process is told to stop and every accepted call is answered.
+/// `file` is the path of the configuration, which is reloaded on SIGHUP.
+///
+/// # Errors
+/// A socket or a signal handler cannot be set up, or the state of the M3UA front or of the cluster is
+/// unusable.
 pub async fn serve(
     config: Config,
     file: Option<PathBuf>,
@@ -61,30 +67,31 @@
     fleet: Option<FleetConfig>,
 ) -> Result<(), ServeError> {
     let clock = Clock::start();
-    let (inputs, queue) = mpsc::channel(INPUTS);
+    let (inputs, queue) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     let site = Rc::new(config.site);
     let calls = Rc::new(Cell::new(config.seed ^ clock.now() as u64));
     let heard_later = fleet.as_ref().is_some_and(|fleet| fleet.copies.is_some());
     let shared = Shared { calls, heard_later, ..Shared::new(clock, site.clone(), inputs) };
-    let m3ua = m3ua.map(|named| m3ua::start(named, shared.clone(), &config.name)).transpose()?;
+    let m3ua = m3ua.map(|m3ua| m3ua::start(m3ua, shared.clone(), &config.name)).transpose()?;
     let terminated = first_sigterm(clock)?;
     let stop = shared.inputs.clone();
-    let (accepting, accepts) = watch::channel(Accepts::All);
-    // Where the socket is inherited, SIGTERM comes when another process has it too.
+    let (accepting, accepts) = watch::channel(AcceptMode::All);
+    // With an inherited socket, SIGTERM arrives when another process listens on the same socket.
     let replaced = config.inherited.is_some();
     let longest_deadline = site.deadlines.iter().copied().max().unwrap_or_default();
     let connection_accept_period = Duration::from_micros(connection_accept_period(longest_deadline) as u64);
     spawn_local(async move {
         if let Ok(at) = terminated.await {
-            // Before anything else: what still waits in its queue is for the other process.
+            // Comes first: connections in the socket's backlog are left to the other process.
             if replaced {
-                accepting.send_replace(Accepts::None);
+                accepting.send_replace(AcceptMode::None);
             }
             let _ = stop.send(Input::Stop { replaced, at }).await;
             sleep(connection_accept_period).await;
-            accepting
-                .send_if_modified(|accepts| std::mem::replace(accepts, Accepts::Waiting) == Accepts::All);
-            // Other listeners than that one are not handed on, and go on until the end.
+            accepting.send_if_modified(|accepts| {
+                std::mem::replace(accepts, AcceptMode::Backlog) == AcceptMode::All
+            });
+            // The other listeners are not inherited by another process and accept until this one ends.
             std::future::pending::<()>().await;
         }
     });
@@ -95,26 +102,26 @@
     };
     eprintln!("steprelay: serving on {}", listener.local_addr()?);
     let core = Core::new((*site).clone(), config.bounds, config.seed, clock.now());
-    let (dialling, known) = (shared.clone(), m3ua.clone());
+    let (platform_shared, m3ua_servers) = (shared.clone(), m3ua.clone());
     let dial = move |link: LinkId, way: Way| match way {
         Way::M3ua(place) => {
-            if let Some(m3ua) = known.clone() {
+            if let Some(m3ua) = m3ua_servers.clone() {
                 spawn_local(m3ua::keep(link, place, m3ua));
             }
         }
         Way::Platform(address) => {
-            spawn_local(platform::servers::keep(link, address, dialling.clone()));
+            spawn_local(platform::servers::keep(link, address, platform_shared.clone()));
         }
     };
     let mut owner = Owner::new(core, shared.clone(), Rc::new(dial));
     owner.listed(config.known.source, config.known.kind, config.known.servers);
-    let (board, followed) = watch::channel(config.board);
-    spawn_local(board::follow(followed, config.known.last, shared.clone()));
-    spawn_local(reread(hangup, file, board, shared.clone()));
-    let fleet = fleet.map(|named| Fleet::start(named, shared.clone())).transpose()?;
+    let (discovery, discovery_address) = watch::channel(config.discovery);
+    spawn_local(board::follow(discovery_address, config.known.last_revision, shared.clone()));
+    spawn_local(reload_on_sighup(hangup, file, discovery, shared.clone()));
+    let fleet = fleet.map(|config| FleetThread::start(config, shared.clone())).transpose()?;
     let fleet = fleet.map(|(fleet, copies)| {
         copies.into_iter().for_each(|end| owner.copy(end));
-        owner.leave_time(FAREWELL_RESERVE);
+        owner.leave_time(LEAVE_RESERVE_MICROS);
         fleet
     });
     if let Some(address) = config.ops {
@@ -128,7 +135,7 @@
         eprintln!("steprelay: serving M3UA on {}", listener.local_addr()?);
         owner.take(m3ua.listed());
         let serve = move |stream, number| m3ua::serve(stream, number, m3ua.clone());
-        spawn_local(accept(listener, MOST_M3UA, watch::channel(Accepts::All).1, serve));
+        spawn_local(accept(listener, MAX_M3UA_CONNECTIONS, watch::channel(AcceptMode::All).1, serve));
     }
     if let Some(snmp) = snmp {
         let socket = UdpSocket::bind(snmp.listen).await?;
@@ -136,17 +143,17 @@
         spawn_local(snmp::serve(socket, snmp, shared.clone(), figures));
     }
     let serve = move |stream, number| platform::clients::serve(stream, number, shared.clone());
-    spawn_local(accept(listener, config.bounds.connections + CLOSING, accepts, serve));
+    spawn_local(accept(listener, config.bounds.connections + CLOSING_CONNECTIONS, accepts, serve));
     let ends_by = owner.run(queue).await;
     if let Some(fleet) = fleet {
-        let left = ends_by.map_or(FAREWELL_RESERVE, |at| (at - clock.now()).max(FAREWELL_LEAST));
-        fleet.leave(Duration::from_micros(left as u64)).await;
+        let time_left = ends_by.map_or(LEAVE_RESERVE_MICROS, |at| (at - clock.now()).max(MIN_LEAVE_MICROS));
+        fleet.leave(Duration::from_micros(time_left as u64)).await;
     }
     Ok(())
 }
 
-/// When the first SIGTERM comes. A thread of its own takes the time: the runtime's may be busy with a long
-/// turn, and the kill counts from the signal and not from its being read.
+/// Reports when the first SIGTERM arrived. A separate thread takes the time: the runtime's thread may be busy
+/// with a long turn, and the shutdown deadline counts from the signal, not from when the runtime reads it.
 fn first_sigterm(clock: Clock) -> io::Result<oneshot::Receiver<Micros>> {
     let (sender, receiver) = oneshot::channel();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build()?;
@@ -162,77 +169,81 @@
     Ok(receiver)
 }
 
-/// Reads the configuration again each time SIGHUP comes. The notice board may move while calls go on; what
-/// else differs is for the next start.
-async fn reread(
+/// Reloads the configuration on each SIGHUP. Only the address of service discovery changes while calls go on;
+/// all other changes apply at the next start.
+async fn reload_on_sighup(
     mut hangup: Signal,
     file: Option<PathBuf>,
-    board: watch::Sender<Option<SocketAddr>>,
+    discovery: watch::Sender<Option<SocketAddr>>,
     shared: Shared,
 ) {
     while hangup.recv().await.is_some() {
         match Config::load(file.as_deref()) {
             Ok(config) => {
-                let named = config.board.map_or_else(|| "none".to_string(), |address| address.to_string());
+                let address_text =
+                    config.discovery.map_or_else(|| "none".to_string(), |address| address.to_string());
                 shared.tally(|tallies| tallies.reloads_taken += 1);
-                log::event(format_args!("configuration read again, the notice board is {named}"));
-                board.send_if_modified(|board| std::mem::replace(board, config.board) != config.board);
+                log::event(format_args!("configuration reloaded, service discovery at {address_text}"));
+                discovery.send_if_modified(|address| {
+                    std::mem::replace(address, config.discovery) != config.discovery
+                });
             }
             Err(error) => {
                 shared.tally(|tallies| tallies.reloads_refused += 1);
-                log::event(format_args!("configuration not taken, the one before stays: {error}"));
+                log::event(format_args!("configuration rejected, keeping the previous one: {error}"));
             }
         }
     }
 }
 
-/// Which connections are accepted.
+/// Which connections a listener accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Accepts {
+enum AcceptMode {
     All,
-    /// Those that wait by now, of callers that take them for accepted; then the listener is closed.
-    Waiting,
-    /// None: those that wait are for another process.
+    /// Those already in the socket's backlog, which their callers see as established; then the listener
+    /// closes.
+    Backlog,
+    /// None: the backlog is left to another process.
     None,
 }
 
-/// Accepts connections, as many at once as the descriptors allow. The others wait in the machine's queue.
-async fn accept<S, F>(listener: TcpListener, most: usize, mut accepts: watch::Receiver<Accepts>, serve: S)
+/// Accepts connections, at most `limit` at once. Further ones wait in the socket's backlog.
+async fn accept<S, F>(listener: TcpListener, limit: usize, mut accepts: watch::Receiver<AcceptMode>, serve: S)
 where
     S: Fn(TcpStream, u64) -> F,
     F: Future<Output = ()> + 'static,
 {
-    let places = Arc::new(Semaphore::new(most.max(1)));
+    let permits = Arc::new(Semaphore::new(limit.max(1)));
     for number in 1.. {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let Some(stream) = next_connection(&listener, &mut accepts).await else { return };
         let serving = serve(stream, number);
         spawn_local(async move {
             serving.await;
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-/// The next connection that is accepted; `None` where none is any more.
+/// Returns the next accepted connection, or `None` once the listener accepts no more.
 async fn next_connection(
     listener: &TcpListener,
-    accepts: &mut watch::Receiver<Accepts>,
+    accepts: &mut watch::Receiver<AcceptMode>,
 ) -> Option<TcpStream> {
     loop {
-        let now = *accepts.borrow();
+        let mode = *accepts.borrow();
         let accepted = tokio::select! {
             biased;
-            // Without an end in sight where whoever says so has gone.
-            true = async { accepts.wait_for(|accepts| *accepts != now).await.is_ok() } => continue,
-            accepted = listener.accept(), if now != Accepts::None => accepted,
-            () = std::future::ready(()), if now != Accepts::All => return None,
+            // Never completes with `true` once the sender of the mode is gone.
+            true = async { accepts.wait_for(|accepts| *accepts != mode).await.is_ok() } => continue,
+            accepted = listener.accept(), if mode != AcceptMode::None => accepted,
+            () = std::future::ready(()), if mode != AcceptMode::All => return None,
         };
         match accepted {
             Ok((stream, _)) => return Some(stream),
             Err(error) => {
-                // Out of descriptors, most often: it passes when connections close.
-                log::event(format_args!("cannot take a connection: {error}"));
+                // Usually the process is out of descriptors, until connections close.
+                log::event(format_args!("cannot accept a connection: {error}"));
                 sleep(Duration::from_millis(50)).await;
             }
         }
--- a/agent/src/trace.rs
+++ b/agent/src/trace.rs
@@ -13,7 +13,7 @@
 
 use crate::ports::{Input, LinkId};
 
-/// Why the environment asks for no trace that there is.
+/// `LB_TRACE` names an unknown trace.
 #[derive(Debug, thiserror::Error)]
 #[error("LB_TRACE: {0:?} can't be traced, only \"calls\"")]
 pub struct UnknownTrace(String);
@@ -37,8 +37,7 @@
     }
 }
 
-/// Begins a line as all of the program's lines begin, and says when: by the Unix clock, which peers' logs
-/// have too.
+/// Starts each line with the program's prefix and the Unix time, which matches the time in peers' logs.
 struct UnixTime;
 
 impl FormatTime for UnixTime {
@@ -48,7 +47,7 @@
     }
 }
 
-/// As on the wire.
+/// A call id in the form it has on the wire.
 struct Id(CallId);
 
 impl fmt::Display for Id {
@@ -79,8 +78,8 @@
     }
 }
 
-/// What came of a call.
-pub fn came(input: &Input) {
+/// An input on a call.
+pub fn input(input: &Input) {
     if LevelFilter::current() < LevelFilter::TRACE {
         return;
     }
@@ -110,12 +109,12 @@
     }
 }
 
-/// A set-up ended without a word of its server.
+/// An attempt ended without a response of its server.
 pub fn attempt_ended(server: ServerId, call: CallId, reason: impl fmt::Display) {
     trace!("{} {reason}, server {}", Id(call), server.0);
 }
 
-/// What another member's loss, or its waking up, makes of a call here.
+/// The effect on a call of another member's loss or return.
 pub fn replicated(call: CallId, event: impl fmt::Display) {
     trace!("{} {event}", Id(call));
 }
@@ -129,17 +128,17 @@
     }
 }
 
-/// What became of a connection to a server.
+/// A change of a connection to a server.
 pub fn link(link: LinkId, what: impl fmt::Display) {
     trace!("- connection {} to server {} {what}", link.epoch, link.server.0);
 }
 
-/// What became of an association of the M3UA front.
+/// A change of an association of the M3UA front.
 pub fn association(number: u64, what: &str) {
     trace!("- association {number} {what}");
 }
 
-/// How long a turn of the owner took, and how late the next begins.
+/// A turn of the owner that took long, or the next one that begins late.
 pub fn turn(took: Micros, late: Micros) {
     const LONG: Micros = 20_000;
     if took >= LONG || late >= LONG {
@@ -147,8 +146,8 @@
     }
 }
 
-/// What goes out for a call.
-pub fn goes(core: &Core, now: Micros, effect: &Effect) {
+/// An effect on a call.
+pub fn effect(core: &Core, now: Micros, effect: &Effect) {
     if LevelFilter::current() < LevelFilter::TRACE {
         return;
     }
--- a/agent/tests/ops.rs
+++ b/agent/tests/ops.rs
@@ -78,10 +78,10 @@
     caller.expect("end", 1);
     assert_eq!(seen("concurrent"), 1);
     agent.signal("HUP");
-    agent.logged("configuration read again");
+    agent.logged("configuration reloaded");
     std::fs::write(&agent.config, "{").expect("written");
     agent.signal("HUP");
-    agent.logged("configuration not taken");
+    agent.logged("configuration rejected");
     assert_eq!((seen("reloads.taken"), seen("reloads.refused")), (1, 1));
 }
 
@@ -179,7 +179,7 @@
     let mut setting = Setting::new(&[]);
     setting.ops = Some("here".into());
     let wrong = |field: &str| {
-        (Some(1), format!("steprelay: configuration: {field}: 'here' is no address with a port\n"))
+        (Some(1), format!("steprelay: configuration: {field}: 'here' is not an address with a port\n"))
     };
     assert_eq!(said(&setting, None, "serve"), wrong("FILE: ops"));
     assert_eq!(said(&setting, None, "check-config"), wrong("FILE: ops"));
--- a/agent/tests/platform.rs
+++ b/agent/tests/platform.rs
@@ -160,7 +160,7 @@
     let mut at_two = two.accept();
     std::fs::write(&agent.config, "{").expect("written");
     agent.signal("HUP");
-    agent.logged("configuration not taken, the one before stays: ");
+    agent.logged("configuration rejected, keeping the previous one: ");
     setting.board = places[1];
     std::fs::copy(setting.file("127.0.0.1:0"), &agent.config).expect("copied");
     agent.signal("HUP");
--- a/agent/tests/upgrade.rs
+++ b/agent/tests/upgrade.rs
@@ -185,7 +185,7 @@
     upgraded(&mut old);
     for agent in [&mut old, &mut new] {
         agent.signal("HUP");
-        agent.logged("configuration read again");
+        agent.logged("configuration reloaded");
     }
     at_old.say(accept(1));
     busy.expect("accept", 1);
