--- a/agent/src/net/owner.rs
+++ b/agent/src/net/owner.rs
@@ -197,7 +197,7 @@
 
     pub fn handle(&mut self, input: Input) {
         let now = self.shared.clock.now();
-        trace::came(&input);
+        trace::input(&input);
         self.check_ownership(now);
         match input {
             Input::ClientOpened { client, peer, outbox } => {
