--- a/agent/src/net/owner/effects.rs
+++ b/agent/src/net/owner/effects.rs
@@ -34,7 +34,7 @@
 
     fn handle_effect(&mut self, effect: Effect) {
         let now = self.shared.clock.now();
-        trace::goes(&self.core, now, &effect);
+        trace::effect(&self.core, now, &effect);
         if self.replication.is_some() {
             self.check_ownership(now);
             if let Effect::DeliverRelease { client, call, .. } = &effect {
