--- a/agent/src/front/m3ua/call_store.rs
+++ b/agent/src/front/m3ua/call_store.rs
@@ -32,7 +32,7 @@
     #[error("m3ua: kept_calls: {}: {error}", path.display())]
     Unusable { path: PathBuf, error: Box<redb::Error> },
     #[error("m3ua: kept_calls: {}: {what} is '{found}', expected '{expected}'", path.display())]
-    NotOurs { path: PathBuf, what: &'static str, found: String, expected: String },
+    Mismatch { path: PathBuf, what: &'static str, found: String, expected: String },
 }
 
 /// A call established on a circuit, or no call where the last one has ended.
@@ -65,7 +65,7 @@
             let found = read_or_insert_metadata(&database, what, expected).map_err(unusable)?;
             if found != expected {
                 let expected = expected.to_string();
-                return Err(CallStoreError::NotOurs { path: path.into(), what, found, expected });
+                return Err(CallStoreError::Mismatch { path: path.into(), what, found, expected });
             }
         }
         let calls = read_calls(&database).map_err(unusable)?;
--- a/agent/src/front/m3ua/config.rs
+++ b/agent/src/front/m3ua/config.rs
@@ -253,8 +253,8 @@
 const FIRST_SERVER_ID: u32 = 0xffff_0000;
 /// Highest circuit identification code, which has 12 bits.
 const MAX_CIRCUITS: u16 = steprelay_signalling::HIGHEST_CIRCUIT;
-/// Time for a peer to bring its ASP up on a connection, also after the ASP went down again. Past it the
-/// connection takes up a place among the ASPs without use.
+/// Time for a peer to bring its ASP up on a connection, also after the ASP went down again. After that the
+/// connection counts among the server's ASPs (`most_asps`) without being of use.
 const ASP_UP_TIMEOUT: Micros = 2_500_000;
 /// Least message length for segmentation, in octets: each segment has to fit its header and some of the
 /// description.
--- a/agent/src/front/m3ua/mod.rs
+++ b/agent/src/front/m3ua/mod.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// An event for the front's task, from a connection task or from a task that forwards the owner's messages.
+/// An event for the front's task, from a connection task or a task that forwards the owner's messages.
 pub enum FrontEvent {
     /// A client has connected.
     ClientConnected(Association, Outbox<OutboundMessage>),
--- a/agent/src/front/platform/clients.rs
+++ b/agent/src/front/platform/clients.rs
@@ -52,8 +52,8 @@
         }
         ToClient::Pause => {
             let paused = gate.close(has_unread_input(&stream));
-            let handed_on = Input::ClientPaused { client, inputs: inputs.get() };
-            if paused && shared.inputs.try_send(handed_on).is_err() {
+            let paused_input = Input::ClientPaused { client, inputs: inputs.get() };
+            if paused && shared.inputs.try_send(paused_input).is_err() {
                 gate.open();
             }
             Ok(ControlFlow::Continue(()))
