--- a/agent/src/config.rs
+++ b/agent/src/config.rs
@@ -10,7 +10,7 @@
 use steprelay_decisions::{Entry, ListKind, Readiness};
 use steprelay_settings::{SettingsError, Site};
 
-use crate::board;
+use crate::discovery;
 use crate::inherited::{self, InheritedError};
 use crate::ops;
 use crate::ports::Endpoint;
@@ -249,7 +249,8 @@
                 other => return Err(invalid("known", format!("unknown state '{}'", other.escape_debug()))),
             };
             let endpoint = Endpoint::Platform(address("known", &target.endpoint)?);
-            servers.insert(id, (board::entry(id, target.pod_group, state, target.boot_ms), endpoint));
+            servers
+                .insert(id, (discovery::server_entry(id, target.pod_group, state, target.boot_ms), endpoint));
         }
     }
     let servers = servers.into_values().filter(|(entry, _)| entry.state != Readiness::Gone).collect();
--- a/agent/src/serve.rs
+++ b/agent/src/serve.rs
@@ -18,11 +18,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Duration};
 
-use crate::board;
 use crate::config::Config;
+use crate::discovery;
 use crate::fleet::config::FleetConfig;
 use crate::fleet::{FleetError, FleetThread};
-use crate::front::m3ua::{self, KeptError, M3uaConfig};
+use crate::front::m3ua::{self, CallStoreError, M3uaConfig};
 use crate::front::platform;
 use crate::net::owner::Owner;
 use crate::ops;
@@ -48,7 +48,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("configuration: {0}")]
-    PersistedState(#[from] KeptError),
+    PersistedState(#[from] CallStoreError),
     #[error("configuration: {0}")]
     Fleet(#[from] FleetError),
 }
@@ -106,17 +106,17 @@
     let dial = move |link: LinkId, endpoint: Endpoint| match endpoint {
         Endpoint::M3ua(place) => {
             if let Some(m3ua) = m3ua_servers.clone() {
-                spawn_local(m3ua::keep(link, place, m3ua));
+                spawn_local(m3ua::maintain_link(link, place, m3ua));
             }
         }
         Endpoint::Platform(address) => {
-            spawn_local(platform::servers::keep(link, address, platform_shared.clone()));
+            spawn_local(platform::servers::maintain_link(link, address, platform_shared.clone()));
         }
     };
     let mut owner = Owner::new(core, shared.clone(), Rc::new(dial));
     owner.update_servers(config.known.source, config.known.kind, config.known.servers);
     let (discovery, discovery_address) = watch::channel(config.discovery);
-    spawn_local(board::follow(discovery_address, config.known.last_revision, shared.clone()));
+    spawn_local(discovery::watch_server_list(discovery_address, config.known.last_revision, shared.clone()));
     spawn_local(reload_on_sighup(hangup, file, discovery, shared.clone()));
     let fleet = fleet.map(|config| FleetThread::start(config, shared.clone())).transpose()?;
     let fleet = fleet.map(|(fleet, copies)| {
@@ -129,11 +129,11 @@
         eprintln!("steprelay: answering operators on {}", listener.local_addr()?);
         spawn_local(ops::serve(listener, shared.clone()));
     }
-    let figures = m3ua.as_ref().map(|m3ua| m3ua.ask_figures());
+    let figures = m3ua.as_ref().map(|m3ua| m3ua.metrics_reader());
     if let Some(m3ua) = m3ua {
         let listener = TcpListener::bind(m3ua.config.listen).await?;
         eprintln!("steprelay: serving M3UA on {}", listener.local_addr()?);
-        owner.handle(m3ua.listed());
+        owner.handle(m3ua.server_list());
         let serve = move |stream, number| m3ua::serve(stream, number, m3ua.clone());
         spawn_local(accept(listener, MAX_M3UA_CONNECTIONS, watch::channel(AcceptMode::All).1, serve));
     }
