--- a/agent/src/discovery/mod.rs
+++ b/agent/src/discovery/mod.rs
@@ -34,12 +34,12 @@
         let address = *endpoint.borrow_and_update();
         let watching = async {
             if let Some(address) = address {
-                shared.tally(|tallies| tallies.discovery_calls += 1);
+                shared.count(|io_counts| io_counts.discovery_calls += 1);
                 let end = read_events(address, &mut last, &shared).await;
-                shared.tally(|tallies| tallies.discovery_failures += 1);
+                shared.count(|io_counts| io_counts.discovery_failures += 1);
                 let end = end.map_or_else(|error| error.kind().to_string(), |()| "closed".to_string());
                 let line = format!("service discovery at {address}: {end}, at event {last}");
-                shared.discovery.say(shared.clock.now(), &line);
+                shared.discovery.log(shared.clock.now(), &line);
                 sleep(RECONNECT_DELAY).await;
             } else {
                 std::future::pending::<()>().await;
@@ -69,7 +69,7 @@
             (last_frame_at, frame_timeout) = (Instant::now(), FRAME_TIMEOUT);
             // An event that is sent again is not applied again: a newer one may have been applied in between.
             let Some((kind, servers)) = frame.list.filter(|_| frame.event > *last) else { continue };
-            let input = Input::Listed { source: ListSource::Discovery, kind, servers };
+            let input = Input::ServersListed { source: ListSource::Discovery, kind, servers };
             if shared.inputs.send(input).await.is_err() {
                 return Ok(());
             }
