--- a/fleet/src/cluster_state.rs
+++ b/fleet/src/cluster_state.rs
@@ -41,6 +41,7 @@
     pub command: Command,
 }
 
+/// A command that is replicated through the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// An operator requests maintenance of a machine.
@@ -178,6 +179,7 @@
     NotAllowed(String),
 }
 
+/// The outcome of a command.
 pub type Outcome = Result<(), Rejection>;
 
 /// A voting member of the consensus group.
@@ -188,6 +190,7 @@
     pub address: SocketAddr,
 }
 
+/// The replicated state. Encoded by postcard, by position, on disk and between members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterState {
     /// Number of changes to this state so far.
@@ -195,6 +198,7 @@
     /// Cluster time in milliseconds: the sum of what successive leaders measured by their monotonic clocks.
     /// Wall clocks play no part.
     pub time_ms: Millis,
+    /// The highest approval number issued.
     pub last_approval: u64,
     /// By their Raft identifiers.
     pub voters: BTreeMap<u64, Voter>,
@@ -210,7 +214,9 @@
     pub required_minor: u16,
     /// Oldest first.
     pub open_requests: Vec<MaintenanceRequest>,
+    /// The latest closed requests, oldest first.
     pub closed_requests: VecDeque<MaintenanceRequest>,
+    /// Outcomes of the latest commands, oldest first.
     outcomes: VecDeque<(CommandId, Outcome)>,
     /// Replication streams owned by successors.
     pub stream_owners: BTreeMap<u64, StreamOwner>,
@@ -418,18 +424,18 @@
 
     /// Whether `machine` waits for `other`, directly or through others.
     fn depends_on(&self, machine: &str, other: &str) -> bool {
-        let mut looked = Vec::new();
-        let mut look = vec![machine];
-        while let Some(name) = look.pop() {
-            if looked.contains(&name) {
+        let mut visited = Vec::new();
+        let mut pending = vec![machine];
+        while let Some(name) = pending.pop() {
+            if visited.contains(&name) {
                 continue;
             }
-            looked.push(name);
+            visited.push(name);
             for before in self.open_request(name).into_iter().flat_map(|item| &item.after) {
                 if before == other {
                     return true;
                 }
-                look.push(before);
+                pending.push(before);
             }
         }
         false
@@ -494,9 +500,9 @@
 
     fn transition(&mut self, machine: &str, event: Event) -> Outcome {
         let (time, number) = (self.time_ms, self.last_approval + 1);
-        let place = self.open_requests.iter().position(|item| item.machine == machine);
-        let place = place.ok_or_else(|| Rejection::NoRequest(machine.into()))?;
-        let item = &mut self.open_requests[place];
+        let position = self.open_requests.iter().position(|item| item.machine == machine);
+        let position = position.ok_or_else(|| Rejection::NoRequest(machine.into()))?;
+        let item = &mut self.open_requests[position];
         let next = transition(item.state, item.drained, event).map_err(|why: InvalidTransition| {
             Rejection::InvalidTransition {
                 machine: machine.into(),
@@ -525,7 +531,7 @@
         (item.state, item.drained) = (next, drained);
         self.version += 1;
         if next.is_over() {
-            let item = self.open_requests.remove(place);
+            let item = self.open_requests.remove(position);
             if self.closed_requests.len() >= MAX_CLOSED_REQUESTS {
                 self.closed_requests.pop_front();
             }
--- a/fleet/src/consensus.rs
+++ b/fleet/src/consensus.rs
@@ -69,6 +69,7 @@
     },
 }
 
+/// Why a persisted log is unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsensusError {
     #[error("the persisted log can't be decoded: {0}")]
@@ -151,6 +152,7 @@
     }
 }
 
+/// A member of the consensus group.
 pub struct Consensus {
     raw: RawNode<LogStore>,
     voters: ConfState,
@@ -248,6 +250,7 @@
         self.is_leader() && raft.commit_to_current_term() && self.applied == raft.raft_log.committed
     }
 
+    /// The Raft identifier of the current leader, if known.
     pub fn leader(&self) -> Option<u64> {
         Some(self.raw.raft.leader_id).filter(|id| *id != raft::INVALID_ID)
     }
@@ -256,10 +259,12 @@
         self.raw.raft.term
     }
 
+    /// The index of the last applied entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
+    /// Advances the engine by one tick.
     pub fn tick(&mut self) {
         // The engine draws its election timeout at random, and two voters with the same timeout split the
         // votes. Here the timeout follows from the voter's rank in an order that depends on the term: no
@@ -459,6 +464,7 @@
         }
     }
 
+    /// The log in the form that [`Consensus::new`] takes.
     pub fn persisted(&self) -> PersistedLog {
         PersistedLog {
             hard: self.hard.clone(),
--- a/fleet/src/maintenance.rs
+++ b/fleet/src/maintenance.rs
@@ -8,6 +8,7 @@
 
 use crate::Millis;
 
+/// State of a maintenance request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
     /// Requested by an operator.
@@ -61,11 +62,13 @@
         !matches!(self, State::Requested | State::Done | State::Withdrawn)
     }
 
+    /// Whether the request is closed.
     pub fn is_over(self) -> bool {
         matches!(self, State::Done | State::Withdrawn)
     }
 }
 
+/// Event that may change the state of a maintenance request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Event {
     /// The consensus group lets the machine leave.
--- a/fleet/src/messages.rs
+++ b/fleet/src/messages.rs
@@ -27,6 +27,7 @@
     }
 }
 
+/// A message with what its sender states about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     pub cluster: String,
@@ -40,6 +41,7 @@
     pub minor: u16,
 }
 
+/// Content of a message. Variants and fields keep their order and types, since the encoding is by position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
     /// The first message on a connection, sent by the side that opened it.
@@ -47,51 +49,29 @@
     /// What the sender knows of the receiver: the highest incarnation of its name, and whether its disk is
     /// the one seen last and not an older copy. `recipient` is a disk identity and a boot identifier. A
     /// first welcome is answered by another with `is_reply`.
-    Welcome {
-        recipient: (u64, u64),
-        incarnation: u64,
-        disk_is_current: bool,
-        is_reply: bool,
-    },
+    Welcome { recipient: (u64, u64), incarnation: u64, disk_is_current: bool, is_reply: bool },
     /// The connection is rejected, with the reason, and closed after this.
     Rejected(String),
+    /// A SWIM message.
     Gossip(Vec<u8>),
     /// A Raft message between voters.
     Raft(Vec<u8>),
     /// The sender's status, and the log index of the state it has.
-    StatusReport {
-        known_index: u64,
-        status: Status,
-    },
+    StatusReport { known_index: u64, status: Status },
     /// The agreed state, if it is newer than the receiver's, and the current leader.
-    StateUpdate {
-        index: u64,
-        leader: Option<String>,
-        cluster_state: Option<Vec<u8>>,
-    },
-    Request {
-        id: CommandId,
-        request: LeaderRequest,
-    },
-    Response {
-        id: CommandId,
-        response: LeaderResponse,
-    },
+    StateUpdate { index: u64, leader: Option<String>, cluster_state: Option<Vec<u8>> },
+    /// A request to the leader.
+    Request { id: CommandId, request: LeaderRequest },
+    /// The response to a request.
+    Response { id: CommandId, response: LeaderResponse },
     /// The sender is about to shut down gracefully.
     Leaving,
     /// To the leader: requests renewal of the sender's lease for the streams it owns, and reports the
     /// replicas that it holds. `requested_at` is by the sender's clock.
-    RenewLease {
-        requested_at: Millis,
-        owned_streams: Vec<StreamEpoch>,
-        held_replicas: Vec<HeldReplica>,
-    },
+    RenewLease { requested_at: Millis, owned_streams: Vec<StreamEpoch>, held_replicas: Vec<HeldReplica> },
     /// From the leader: the lease is renewed for all streams of the request. `boot` identifies the process
     /// start that requested it, since a late response must not count for the next start.
-    LeaseRenewed {
-        boot: u64,
-        requested_at: Millis,
-    },
+    LeaseRenewed { boot: u64, requested_at: Millis },
     /// A replication message between a primary and its replicas, decoded by the caller.
     Replication(Vec<u8>),
 }
@@ -116,14 +96,18 @@
 /// Requests to the leader, from members or from operators by way of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderRequest {
+    /// Executes a command through the log.
     Execute(Command),
     /// Asks why a machine's request has not been approved yet.
     Explain(String),
 }
 
+/// Responses to a [`LeaderRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderResponse {
+    /// The outcome of a command.
     Outcome(Outcome),
+    /// The explanation that was asked for.
     Text(String),
     /// The sender does not lead; names the leader if known.
     NotLeader(Option<String>),
--- a/fleet/src/node/commands.rs
+++ b/fleet/src/node/commands.rs
@@ -175,7 +175,7 @@
 
     pub(super) fn propose(&mut self, id: CommandId, command: Command) {
         let now = self.last_tick;
-        let at_ms = self.lead.as_ref().map_or(self.persistent.cluster_state.time_ms, |lead| {
+        let at_ms = self.leader_state.as_ref().map_or(self.persistent.cluster_state.time_ms, |lead| {
             lead.time_ms + now.saturating_sub(lead.leading_since)
         });
         let entry = LogEntry { id, at_ms, command };
@@ -186,8 +186,8 @@
 
     /// Proposes a command of the leader itself.
     pub(super) fn propose_own(&mut self, command: Command) {
-        self.count += 1;
-        let id = CommandId { origin: self.me().boot, count: self.count };
+        self.command_count += 1;
+        let id = CommandId { origin: self.me().boot, count: self.command_count };
         self.propose(id, command);
     }
 
--- a/fleet/src/node/leader.rs
+++ b/fleet/src/node/leader.rs
@@ -62,7 +62,7 @@
             health: Health::Alive,
             status: Some((self.own_status.clone(), 0)),
         });
-        let disturbance = self.lead.as_ref().and_then(|lead| lead.disturbance.clone());
+        let disturbance = self.leader_state.as_ref().and_then(|lead| lead.disturbance.clone());
         ClusterView {
             members,
             max_status_age_ms: self.max_status_age(),
@@ -72,11 +72,11 @@
 
     pub(super) fn run_leader_duties(&mut self, now: Millis) {
         if !self.is_leader() {
-            self.lead = None;
+            self.leader_state = None;
             return;
         }
         let time_ms = self.persistent.cluster_state.time_ms;
-        let lead = self.lead.get_or_insert_with(|| LeaderState {
+        let lead = self.leader_state.get_or_insert_with(|| LeaderState {
             leading_since: now,
             time_ms,
             last_check: 0,
@@ -96,7 +96,7 @@
             lead.pushed_version = self.persistent.cluster_state.version;
             self.push_state();
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         if now < lead.last_check + LEADER_INTERVAL {
             return;
         }
@@ -108,17 +108,17 @@
             }
         }
         self.detect_disturbance(now);
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         // Waits for the last proposal to be applied, since the next decisions depend on it.
         let (at, index) = lead.last_proposal;
         if index == self.persistent.index && now < at + PROPOSAL_RETRY {
             return;
         }
-        let (before, index) = (self.count, self.persistent.index);
+        let (before, index) = (self.command_count, self.persistent.index);
         self.maintain_voters(now);
         self.schedule_maintenance(now);
         self.fail_over_streams(now);
-        if let Some(lead) = self.lead.as_mut().filter(|_| self.count > before) {
+        if let Some(lead) = self.leader_state.as_mut().filter(|_| self.command_count > before) {
             lead.last_proposal = (now, index);
         }
         self.process_consensus(now);
@@ -139,19 +139,19 @@
     pub(super) fn detect_disturbance(&mut self, now: Millis) {
         let cluster_view = self.cluster_view(now);
         let cluster_state = &self.persistent.cluster_state;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let mut disturbance = None;
         let is_out =
             |name: &str| cluster_state.open_request(name).is_some_and(|item| item.state.counts_as_out());
-        for seen in &cluster_view.members {
-            let serving = seen.is_serving(cluster_view.max_status_age_ms);
+        for member in &cluster_view.members {
+            let serving = member.is_serving(cluster_view.max_status_age_ms);
             let was_serving = if serving {
-                !lead.serving.insert(seen.name.clone())
+                !lead.serving.insert(member.name.clone())
             } else {
-                lead.serving.remove(&seen.name)
+                lead.serving.remove(&member.name)
             };
-            if was_serving && !serving && !is_out(&seen.name) {
-                disturbance = Some(format!("{} was lost", seen.name));
+            if was_serving && !serving && !is_out(&member.name) {
+                disturbance = Some(format!("{} was lost", member.name));
             }
         }
         let returning_machines: BTreeSet<String> = cluster_state
@@ -164,8 +164,9 @@
             disturbance = Some(format!("{back} came back"));
         }
         lead.returning_machines = returning_machines;
-        let statuses =
-            || cluster_view.members.iter().filter_map(|seen| seen.status.as_ref()).map(|(status, _)| status);
+        let statuses = || {
+            cluster_view.members.iter().filter_map(|member| member.status.as_ref()).map(|(status, _)| status)
+        };
         let avoided: u64 = statuses().map(|status| u64::from(status.avoided)).sum();
         let servers_held =
             cluster_state.open_requests.iter().any(|item| matches!(item.kind, TargetKind::Server(_)));
@@ -286,7 +287,7 @@
         if consensus.replace_voters(&ids, &removed, context) {
             let gone = if removed.is_empty() { "" } else { ", in place of another one" };
             let names: Vec<String> = added.into_iter().map(|(_, voter)| voter.name).collect();
-            self.count += 1;
+            self.command_count += 1;
             self.log(format!("fleet: new voters: {}{gone}", names.join(", ")));
         }
     }
@@ -294,7 +295,10 @@
     /// Proposes everything about maintenance: roster updates, events that are due, and the next approval.
     pub(super) fn schedule_maintenance(&mut self, now: Millis) {
         let cluster_view = self.cluster_view(now);
-        let time = self.lead.as_ref().map_or(0, |lead| lead.time_ms + now.saturating_sub(lead.leading_since));
+        let time = self
+            .leader_state
+            .as_ref()
+            .map_or(0, |lead| lead.time_ms + now.saturating_sub(lead.leading_since));
         // Members that are missing in the roster or differ from their entry.
         let alive = self.members().into_iter().filter(|(_, health)| *health == Health::Alive);
         let roster = &self.persistent.cluster_state.roster;
@@ -322,7 +326,7 @@
                 has_proposed_event = true;
             }
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         if !items.is_empty() && now >= lead.last_clock_entry + CLOCK_ENTRY_INTERVAL {
             lead.last_clock_entry = now;
             self.propose_own(Command::AdvanceClock);
@@ -343,7 +347,9 @@
                 self.propose_own(Command::Approve { machine, base_version, max_out });
             }
             Err(why) => {
-                let (Some(lead), Some((machine, why))) = (&mut self.lead, why.first()) else { return };
+                let (Some(lead), Some((machine, why))) = (&mut self.leader_state, why.first()) else {
+                    return;
+                };
                 // Logs the reason of the oldest request only, and compares it without digits, so that a
                 // reason with changing figures is logged once.
                 let kind: String = why.to_string().chars().filter(|c| !c.is_ascii_digit()).collect();
@@ -366,10 +372,11 @@
     ) -> Option<Event> {
         let expired = item.expires_at_ms.is_some_and(|until| time > until);
         let late = item.due_at_ms.is_some_and(|due| time > due);
-        let seen = |seen: &&ObservedMember| seen.health == Health::Alive;
+        let is_alive = |member: &&ObservedMember| member.health == Health::Alive;
         let all_report = |check: &dyn Fn(&Status) -> bool| {
-            cluster_view.members.iter().filter(seen).all(|seen| {
-                seen.status
+            cluster_view.members.iter().filter(is_alive).all(|member| {
+                member
+                    .status
                     .as_ref()
                     .is_some_and(|(status, age)| *age <= cluster_view.max_status_age_ms && check(status))
             })
--- a/fleet/src/node/local_maintenance.rs
+++ b/fleet/src/node/local_maintenance.rs
@@ -56,7 +56,7 @@
         }
         let command = Command::ReportEvent { machine: name.into(), approval, event: Event::Begin };
         // Recorded first, since the response is immediate if this member is the leader.
-        let id = CommandId { origin: self.me().boot, count: self.count + 1 };
+        let id = CommandId { origin: self.me().boot, count: self.command_count + 1 };
         self.leave_request = Some((id, now, approval));
         self.submit(now, LeaderRequest::Execute(command));
     }
@@ -104,7 +104,7 @@
             return;
         }
         let command = Command::ReportEvent { machine: machine.into(), approval, event };
-        let id = CommandId { origin: self.me().boot, count: self.count + 1 };
+        let id = CommandId { origin: self.me().boot, count: self.command_count + 1 };
         self.pending_report = Some((id, event, approval, false));
         self.submit(now, LeaderRequest::Execute(command));
     }
--- a/fleet/src/node/membership.rs
+++ b/fleet/src/node/membership.rs
@@ -55,10 +55,10 @@
         }
         for (name, (member, health)) in &seen {
             let has_capacity = peers.len() < MAX_KNOWN_MEMBERS;
-            let told = |health: Health| Effect::Log(format!("fleet: {name} is {}", health.as_str()));
+            let log_health = |health: Health| Effect::Log(format!("fleet: {name} is {}", health.as_str()));
             let Some(peer) = peers.get_mut(*name) else {
                 if has_capacity {
-                    effects.push(told(*health));
+                    effects.push(log_health(*health));
                     let (member, health) = (Member::clone(member), *health);
                     let peer = Peer {
                         member,
@@ -84,7 +84,7 @@
             }
             if peer.health != health {
                 (peer.health, peer.health_since) = (health, now);
-                effects.push(told(health));
+                effects.push(log_health(health));
             }
         }
         let roster = &persistent.cluster_state.roster;
@@ -186,7 +186,7 @@
 
     /// Replaces the Raft log, or deletes it until a new one is received.
     pub(super) fn replace_log(&mut self, log: Option<Write>) {
-        (self.consensus, self.lead, self.may_participate) = (None, None, true);
+        (self.consensus, self.leader_state, self.may_participate) = (None, None, true);
         self.pending_report = None;
         self.last_persisted = self.persistent.clone();
         // Comes before all effects queued for the previous log.
--- a/fleet/src/node/mod.rs
+++ b/fleet/src/node/mod.rs
@@ -132,6 +132,7 @@
     Log(String),
 }
 
+/// Another member.
 #[derive(Clone, Debug)]
 struct Peer {
     member: Member,
@@ -145,6 +146,7 @@
     minor: Option<u16>,
 }
 
+/// A request of this member without a response.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     request: LeaderRequest,
@@ -187,6 +189,7 @@
     pub octets: u64,
 }
 
+/// A cluster member as a state machine without I/O: inputs are method calls, outputs are [`Effect`]s.
 pub struct Node {
     config: NodeConfig,
     swim: Swim,
@@ -216,8 +219,8 @@
     held_servers: BTreeMap<u32, u64>,
     pending_requests: BTreeMap<CommandId, PendingRequest>,
     pending_proposals: BTreeMap<CommandId, Requester>,
-    count: u64,
-    lead: Option<LeaderState>,
+    command_count: u64,
+    leader_state: Option<LeaderState>,
     streams: StreamState,
     last_tick: Millis,
     last_dead_probe: Millis,
@@ -272,8 +275,8 @@
             held_servers: BTreeMap::new(),
             pending_requests: BTreeMap::new(),
             pending_proposals: BTreeMap::new(),
-            count: 0,
-            lead: None,
+            command_count: 0,
+            leader_state: None,
             streams: StreamState::default(),
             last_tick: now,
             last_dead_probe: now,
@@ -312,6 +315,7 @@
         self.swim.me()
     }
 
+    /// The agreed state as known here.
     pub fn cluster_state(&self) -> &ClusterState {
         &self.persistent.cluster_state
     }
@@ -321,6 +325,7 @@
         self.persistent.index > 0 || self.persistent.cluster_state.version > 0
     }
 
+    /// Returns the effects since the last call, to be carried out in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
@@ -379,6 +384,7 @@
         }
     }
 
+    /// Whether this member leads and has applied all that earlier leaders committed.
     pub fn is_leader(&self) -> bool {
         self.consensus.as_ref().is_some_and(Consensus::has_confirmed_leadership)
     }
@@ -407,6 +413,7 @@
         }
     }
 
+    /// Advances time: runs all timers and periodic duties.
     pub fn tick(&mut self, now: Millis) {
         self.detect_stall(now);
         let output = self.swim.tick(now);
@@ -430,7 +437,7 @@
         self.detect_stall(now);
         let Envelope { cluster, from, group_id, payload, minor } = envelope;
         let (to, me) = (from.address, self.me().clone());
-        let refuse = |node: &mut Node, why: String| {
+        let reject = |node: &mut Node, why: String| {
             node.log_rejection(now, format!("fleet: {} at {to} is rejected: {why}", from.name));
             node.send(to, Payload::Rejected(why));
             false
@@ -440,14 +447,14 @@
             return false;
         }
         if cluster != self.config.cluster {
-            return refuse(self, format!("this is cluster {}, not {cluster}", self.config.cluster));
+            return reject(self, format!("this is cluster {}, not {cluster}", self.config.cluster));
         }
         if from.name == me.name {
-            return refuse(self, format!("the member name {} is already in use", me.name));
+            return reject(self, format!("the member name {} is already in use", me.name));
         }
         let required_minor = self.persistent.cluster_state.required_minor;
         if minor < required_minor {
-            return refuse(
+            return reject(
                 self,
                 format!(
                     "version {MAJOR}.{minor} is too old, the log has entries of {MAJOR}.{required_minor}"
@@ -457,7 +464,7 @@
         if let Some(peer) = self.peers.get_mut(&from.name).filter(|peer| peer.member.boot == from.boot) {
             peer.minor = Some(minor);
         }
-        let of_council = matches!(
+        let is_group_message = matches!(
             payload,
             Payload::Raft(_)
                 | Payload::StatusReport { .. }
@@ -468,7 +475,7 @@
                 | Payload::LeaseRenewed { .. }
                 | Payload::Replication(_)
         );
-        if !self.adopt_group(now, &from, group_id) && of_council {
+        if !self.adopt_group(now, &from, group_id) && is_group_message {
             self.unexpected_messages += 1;
             return true;
         }
@@ -535,8 +542,8 @@
     /// Submits an operator's request by way of this member. Exactly one [`Effect::Response`] follows,
     /// within a bounded time.
     pub fn submit(&mut self, now: Millis, request: LeaderRequest) -> CommandId {
-        self.count += 1;
-        let id = CommandId { origin: self.me().boot, count: self.count };
+        self.command_count += 1;
+        let id = CommandId { origin: self.me().boot, count: self.command_count };
         if self.pending_requests.len() >= MAX_PENDING_REQUESTS {
             let response = LeaderResponse::Outcome(Err(Rejection::LimitReached("pending requests".into())));
             self.effects.push(Effect::Response { id, response });
--- a/fleet/src/node/streams.rs
+++ b/fleet/src/node/streams.rs
@@ -125,7 +125,7 @@
         };
         let owns_all = owned_streams.iter().all(owns);
         self.prune_pending_failovers();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         lead.leases.held_replicas.insert(from.name.clone(), (held_replicas, now));
         let fails_over = |owned: &StreamEpoch| self.streams.pending_failovers.contains_key(&owned.stream);
         if !owns_all || owned_streams.iter().any(fails_over) {
@@ -168,7 +168,7 @@
     /// Assigns the streams of lost primaries to successors.
     pub(super) fn fail_over_streams(&mut self, now: Millis) {
         self.prune_pending_failovers();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let cluster_state = &self.persistent.cluster_state;
         lead.leases.held_replicas.retain(|_, (_, at)| now < *at + REPLICA_REPORT_VALIDITY);
         lead.leases.renewed.retain(|_, at| now < *at + FAILOVER_GRACE);
--- a/fleet/src/swim.rs
+++ b/fleet/src/swim.rs
@@ -82,6 +82,7 @@
     }
 }
 
+/// Health of a member as seen by the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Health {
     Alive,
@@ -92,6 +93,7 @@
 }
 
 impl Health {
+    /// The name of the state, as shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Health::Alive => "alive",
@@ -119,11 +121,12 @@
 /// Calls come far more often than this; a longer gap means that the process did not run.
 pub const STALL_THRESHOLD_MS: Millis = 400;
 
+/// The SWIM engine with its timers, driven by explicit time.
 pub struct Swim {
     foca: Foca<KnownMember, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
     runtime: AccumulatingRuntime<KnownMember>,
     timers: BTreeMap<(Millis, u64), Timer<KnownMember>>,
-    count: u64,
+    timer_count: u64,
     last_checked: Millis,
     /// Total time of all stalls.
     stalled_ms: Millis,
@@ -160,7 +163,7 @@
             foca: Foca::new(me.into(), config, StdRng::seed_from_u64(seed), PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
-            count: 0,
+            timer_count: 0,
             last_checked: now,
             stalled_ms: 0,
         }
@@ -215,6 +218,7 @@
         self.collect_output(now)
     }
 
+    /// Passes in a SWIM message.
     pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> SwimOutput {
         // Messages that are invalid or addressed to an earlier incarnation are ignored.
         let _ = self.foca.handle_data(bytes, &mut self.runtime);
@@ -245,6 +249,7 @@
         Some(stalled_for)
     }
 
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Millis) -> SwimOutput {
         let mut output = SwimOutput::default();
         while let Some((&(at, count), _)) = self.timers.first_key_value() {
@@ -282,11 +287,11 @@
             output.send.push((to.into(), bytes.to_vec()));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.count += 1;
-            self.timers.insert((now + after.as_millis() as Millis, self.count), timer);
+            self.timer_count += 1;
+            self.timers.insert((now + after.as_millis() as Millis, self.timer_count), timer);
         }
-        while let Some(told) = self.runtime.to_notify() {
-            match told {
+        while let Some(notification) = self.runtime.to_notify() {
+            match notification {
                 OwnedNotification::MemberUp(member) => output.up.push(member.into()),
                 OwnedNotification::MemberDown(member) => output.down.push(member.into()),
                 OwnedNotification::Rename(_, member) => output.up.push(member.into()),
