--- a/agent/benches/copies.rs
+++ b/agent/benches/copies.rs
@@ -108,13 +108,13 @@
                 let said = |what: &What| matches!(what, What::Logged { line, .. } if line.contains(text));
                 rig.history.events().iter().find(|event| said(&event.what)).map(|event| event.at - killed)
             };
-            rig.until(Duration::from_secs(30), "kept", |rig| when(rig, "promised is kept").is_some());
+            rig.until(Duration::from_secs(30), "kept", |rig| when(rig, "takeover of stream").is_some());
             let findings = rig.finish();
             assert!(findings.broken.is_empty(), "{} broken, {:?}", findings.broken.len(), findings.broken[0]);
             standing = findings.taken;
             took.push((
-                when(&rig, "takes over what stream").unwrap_or(0),
-                when(&rig, "promised is kept").unwrap_or(0),
+                when(&rig, "takes over stream").unwrap_or(0),
+                when(&rig, "takeover of stream").unwrap_or(0),
             ));
         }
         took.sort_unstable();
--- a/agent/tests/copies.rs
+++ b/agent/tests/copies.rs
@@ -70,8 +70,8 @@
 
 /// So many streams were taken over, and all that they promised was kept.
 fn kept(rig: &mut Rig, streams: usize) {
-    rig.until(seconds(20), "it is succeeded", |rig| said(rig, "takes over what stream") >= streams);
-    rig.until(seconds(20), "all is kept", |rig| said(rig, "promised is kept") >= streams);
+    rig.until(seconds(20), "it is succeeded", |rig| said(rig, "takes over stream") >= streams);
+    rig.until(seconds(20), "all is kept", |rig| said(rig, "takeover of stream") >= streams);
 }
 
 /// Two machines at once; a whole zone; the council's leader with another one.
@@ -103,7 +103,7 @@
     let successor = |rig: &Rig| {
         let events = rig.history.events();
         let line = events.iter().find_map(|event| match &event.what {
-            What::Logged { line, .. } if line.contains("takes over what stream") => Some(line.clone()),
+            What::Logged { line, .. } if line.contains("takes over stream") => Some(line.clone()),
             _ => None,
         })?;
         let name = line.strip_prefix("fleet: ")?.split(' ').next()?.to_string();
@@ -130,7 +130,7 @@
         rig.stall(2);
         rig.stop_server(0);
         rig.always(seconds(for_), "others serve", |rig| rig.runs(1));
-        assert_eq!(said(&rig, "takes over what stream") > 0, succeeded, "{}", rig.told());
+        assert_eq!(said(&rig, "takes over stream") > 0, succeeded, "{}", rig.told());
         rig.go_on(2);
         rig.settle();
         rig.always(seconds(3), "calls go on", |rig| rig.runs(2));
@@ -154,7 +154,7 @@
     rig.kill(2);
     rig.lose_disk(2);
     rig.phase("well");
-    rig.until(seconds(20), "it is succeeded", |rig| said(rig, "takes over what stream") > 0);
+    rig.until(seconds(20), "it is succeeded", |rig| said(rig, "takes over stream") > 0);
     rig.always(seconds(4), "they are ended", |rig| rig.runs(1));
     good(&mut rig);
 }
@@ -203,7 +203,7 @@
     let place = (leader + 1) % 4;
     rig.stop(place);
     rig.stop_server(0);
-    rig.until(seconds(3), "no lease is waited for", |rig| said(rig, "takes over what stream") > 0);
+    rig.until(seconds(3), "no lease is waited for", |rig| said(rig, "takes over stream") > 0);
     kept(&mut rig, 1);
     let findings = good(&mut rig);
     assert!(findings.taken > 20, "{findings:?}");
--- a/agent/tests/fleet.rs
+++ b/agent/tests/fleet.rs
@@ -135,7 +135,7 @@
     rig.until(seconds(20), "the majority leads", |rig| rig.leader().is_some_and(|leader| leader % 3 != 0));
     let (code, said) = rig.staff(3, &["work", "add", "n4", "--for", "1m"]);
     assert_eq!(code, 1, "{said}");
-    assert!(said.contains("no majority of the council answers"), "{said}");
+    assert!(said.contains("no majority of the consensus group responds"), "{said}");
     rig.phase("well");
     rig.until(seconds(40), "votes are spread over the zones", |rig| {
         let rows = rig.members(1).unwrap_or_default();
--- a/fleet/src/cluster_state.rs
+++ b/fleet/src/cluster_state.rs
@@ -173,7 +173,7 @@
     #[error("a text is longer than {MAX_TEXT_BYTES} bytes")]
     TextTooLong,
     /// No leader accepted the command, or none could respond in time. Its outcome is unknown.
-    #[error("no majority of the council answers")]
+    #[error("no majority of the consensus group responds")]
     NoQuorum,
     #[error("{0}")]
     NotAllowed(String),
--- a/fleet/src/node/group.rs
+++ b/fleet/src/node/group.rs
@@ -180,11 +180,11 @@
             Command::Pause { reason: Some(why) } => return self.log(format!("fleet: work is paused: {why}")),
             Command::Pause { reason: None } => return self.log("fleet: work is resumed".into()),
             Command::FailOver { stream, epoch, name, .. } => {
-                let line = format!("fleet: {name} takes over what stream {stream:x} promised, epoch {epoch}");
+                let line = format!("fleet: {name} takes over stream {stream:x}, epoch {epoch}");
                 return self.log(line);
             }
             Command::CloseStream { stream, .. } => {
-                return self.log(format!("fleet: all that stream {stream:x} promised is kept"));
+                return self.log(format!("fleet: takeover of stream {stream:x} is complete"));
             }
             Command::Join { .. } | Command::Forget { .. } | Command::AdvanceClock => return,
         };
--- a/fleet/src/node/leader.rs
+++ b/fleet/src/node/leader.rs
@@ -160,8 +160,8 @@
             .filter(|item| matches!(item.state, State::Returning | State::Lost))
             .map(|item| item.machine.clone())
             .collect();
-        if let Some(back) = lead.returning_machines.difference(&returning_machines).next() {
-            disturbance = Some(format!("{back} came back"));
+        if let Some(returned) = lead.returning_machines.difference(&returning_machines).next() {
+            disturbance = Some(format!("{returned} returned"));
         }
         lead.returning_machines = returning_machines;
         let statuses = || {
--- a/fleet/src/node/local_maintenance.rs
+++ b/fleet/src/node/local_maintenance.rs
@@ -97,10 +97,10 @@
 
     /// Reports an event about this machine, once, until it is committed or rejected.
     pub(super) fn report(&mut self, now: Millis, machine: &str, approval: u64, event: Event) {
-        let said = |(id, said, by, cluster_state): (CommandId, Event, u64, bool)| {
-            (said, by) == (event, approval) && (cluster_state || self.pending_requests.contains_key(&id))
+        let is_reported = |(id, reported, under, committed): (CommandId, Event, u64, bool)| {
+            (reported, under) == (event, approval) && (committed || self.pending_requests.contains_key(&id))
         };
-        if self.pending_report.is_some_and(said) {
+        if self.pending_report.is_some_and(is_reported) {
             return;
         }
         let command = Command::ReportEvent { machine: machine.into(), approval, event };
--- a/fleet/src/node/mod.rs
+++ b/fleet/src/node/mod.rs
@@ -601,12 +601,12 @@
     /// Persists the state if anything changed that a restart needs. The log index and the cluster time
     /// alone don't count: a voter restores them from its log, other members receive them.
     fn persist(&mut self) {
-        let (page, persisted) = (&self.persistent, &self.last_persisted);
-        let same = (page.node, page.incarnation, page.group_id, page.away_approval)
+        let (current, persisted) = (&self.persistent, &self.last_persisted);
+        let same = (current.node, current.incarnation, current.group_id, current.away_approval)
             == (persisted.node, persisted.incarnation, persisted.group_id, persisted.away_approval)
-            && page.cluster_state.version == persisted.cluster_state.version
-            && page.seen_disks == persisted.seen_disks
-            && page.incarnations == persisted.incarnations;
+            && current.cluster_state.version == persisted.cluster_state.version
+            && current.seen_disks == persisted.seen_disks
+            && current.incarnations == persisted.incarnations;
         if !same {
             self.last_persisted = self.persistent.clone();
             self.effects.push(Effect::Persist(Box::new(self.persistent.clone())));
--- a/fleet/tests/agreed.rs
+++ b/fleet/tests/agreed.rs
@@ -144,7 +144,7 @@
         let mut last = 0;
         for (kind, machine, back, event) in acts {
             let machine = format!("n{machine}");
-            let said = match kind {
+            let outcome = match kind {
                 0 => state.add(&machine, &[]),
                 1 => state.apply(Command::Withdraw { machine }),
                 2 => state.apply(Command::Finish { machine }),
@@ -158,7 +158,7 @@
                     state.report(&machine, approval, Event::ALL[event])
                 }
             };
-            let granted = matches!(kind, 3 | 4) && said.is_ok();
+            let granted = matches!(kind, 3 | 4) && outcome.is_ok();
             prop_assert!(state.cluster_state.last_approval == last + u64::from(granted));
             last = state.cluster_state.last_approval;
             let out: Vec<_> = state.cluster_state.machines_out().collect();
@@ -173,21 +173,21 @@
 #[test]
 fn each_failover_needs_the_next_epoch() {
     let mut state = TestState::default();
-    let succeed = |epoch, name: &str| Command::FailOver { stream: 7, epoch, name: name.into(), boot: 1 };
-    let settle = |epoch| Command::CloseStream { stream: 7, epoch };
+    let fail_over = |epoch, name: &str| Command::FailOver { stream: 7, epoch, name: name.into(), boot: 1 };
+    let close = |epoch| Command::CloseStream { stream: 7, epoch };
     let fenced = |outcome: Outcome| matches!(outcome, Err(Rejection::Fenced { .. }));
-    assert!(fenced(state.apply(settle(0))), "the first primary can't close the stream");
-    assert_eq!(state.apply(succeed(1, "n1")), Ok(()));
-    assert!(fenced(state.apply(succeed(1, "n2"))), "one successor per epoch");
-    assert!(fenced(state.apply(succeed(3, "n2"))));
-    assert_eq!(state.apply(succeed(2, "n2")), Ok(()));
+    assert!(fenced(state.apply(close(0))), "the first primary can't close the stream");
+    assert_eq!(state.apply(fail_over(1, "n1")), Ok(()));
+    assert!(fenced(state.apply(fail_over(1, "n2"))), "one successor per epoch");
+    assert!(fenced(state.apply(fail_over(3, "n2"))));
+    assert_eq!(state.apply(fail_over(2, "n2")), Ok(()));
     assert_eq!(
         (state.cluster_state.stream_owners[&7].name.as_str(), state.cluster_state.epoch(7)),
         ("n2", Some(2))
     );
-    assert!(fenced(state.apply(settle(1))), "a replaced owner can't close the stream");
-    assert_eq!(state.apply(settle(2)), Ok(()));
-    assert!(fenced(state.apply(settle(2))) && fenced(state.apply(succeed(3, "n3"))), "the stream is closed");
+    assert!(fenced(state.apply(close(1))), "a replaced owner can't close the stream");
+    assert_eq!(state.apply(close(2)), Ok(()));
+    assert!(fenced(state.apply(close(2))) && fenced(state.apply(fail_over(3, "n3"))), "the stream is closed");
     assert_eq!((state.cluster_state.epoch(7), state.cluster_state.epoch(8)), (None, Some(0)));
     assert_eq!(state.cluster_state.required_minor, 2, "members of older versions can't read the log");
 }
--- a/fleet/tests/fleet.rs
+++ b/fleet/tests/fleet.rs
@@ -461,8 +461,9 @@
         let node = sim.machines[0].node.as_mut().expect("it runs");
         assert!(!node.receive(now, stranger.clone()));
         sim.run(1_000);
-        let told = sim.machines[0].log.iter().filter(|line| line.contains("is rejected: this is cluster kl"));
-        assert_eq!(told.count(), if second < 60 { 1 } else { 2 }, "after {second} s");
+        let logged =
+            sim.machines[0].log.iter().filter(|line| line.contains("is rejected: this is cluster kl"));
+        assert_eq!(logged.count(), if second < 60 { 1 } else { 2 }, "after {second} s");
     }
     assert_eq!(sim.node(0).metrics().unexpected_messages, 62);
 }
@@ -478,8 +479,8 @@
         assert_eq!(health, Health::Alive, "{} is {health:?} to the stalled member", member.name);
     }
     assert!(sim.node(4).metrics().stalled_ms >= 5_000);
-    let said: Vec<_> = sim.machines[4].log.iter().filter(|line| line.ends_with("is dead")).collect();
-    assert!(said.is_empty(), "{said:?}");
+    let declared_dead: Vec<_> = sim.machines[4].log.iter().filter(|line| line.ends_with("is dead")).collect();
+    assert!(declared_dead.is_empty(), "{declared_dead:?}");
 }
 
 #[test]
@@ -562,7 +563,7 @@
     sim.heal();
     let healed = sim.now;
     assert!(sim.run_until(60_000, Simulation::has_converged), "{}", sim.dump());
-    println!("300 members, 3 s with a tenth of words lost: whole {} ms later", sim.now - healed);
+    println!("300 members, 3 s with a tenth of messages lost: converged {} ms later", sim.now - healed);
     sim.run(20_000);
     let (now, octets) = (sim.now, sim.octets);
     sim.run(10_000);
@@ -573,7 +574,7 @@
     }
     let asked = sim.now;
     assert!(finish_all(&mut sim, 120_000), "{}", sim.dump());
-    println!("three of them worked on after {} ms", sim.now - asked);
+    println!("maintenance of three of them finished after {} ms", sim.now - asked);
     assert_no_violations(&sim);
     assert_eq!(sim.departures.len(), 3);
 }
--- a/fleet/tests/order.rs
+++ b/fleet/tests/order.rs
@@ -117,14 +117,14 @@
         (|s| s.complete_maintenance("n1"), "n1: its work is done"),
         (|s| s.apply(Command::Withdraw { machine: "n1".into() }), "n1: its work is withdrawn"),
     ];
-    for (place, (change, told)) in table.into_iter().enumerate() {
+    for (place, (change, expected)) in table.into_iter().enumerate() {
         let mut fixture = Fixture::new();
         // Three of four machines remain: 60 for a load of 40 plus half of it in reserve.
         change(&mut fixture);
-        if told.contains("goes first") {
+        if expected.contains("goes first") {
             fixture.status("n2").0.load_milli = 0;
         }
-        assert_eq!(fixture.explanation("n1"), told, "line {place}");
+        assert_eq!(fixture.explanation("n1"), expected, "line {place}");
     }
     assert_eq!(Fixture::new().explanation("n4"), "n4: no work was requested");
 }
@@ -159,12 +159,15 @@
     fixture.add("s-00000001", TargetKind::Server(1));
     fixture.add("s-00000002", TargetKind::Server(2));
     assert_eq!(fixture.explanation("s-00000001"), "s-00000001: it is next");
-    let told = fixture.explanation("s-00000002");
-    assert!(told.ends_with("s-00000002 would be the last check server that can serve class 1"), "{told}");
+    let explanation = fixture.explanation("s-00000002");
+    assert!(
+        explanation.ends_with("s-00000002 would be the last check server that can serve class 1"),
+        "{explanation}"
+    );
     // Once the other server is out, this one is the last for class 0, too.
     let base_version = fixture.cluster_state.version;
     fixture.apply(Command::Approve { machine: "s-00000001".into(), base_version, max_out: 2 });
     let limits = Limits { max_out: 2, ..LIMITS };
-    let told = explain(&fixture.cluster_state, &fixture.view, &limits, "s-00000002");
-    assert!(told.ends_with("serve class 0"), "{told}");
+    let explanation = explain(&fixture.cluster_state, &fixture.view, &limits, "s-00000002");
+    assert!(explanation.ends_with("serve class 0"), "{explanation}");
 }
--- a/fleet/tests/seeds.rs
+++ b/fleet/tests/seeds.rs
@@ -129,14 +129,14 @@
             broken.push(format!("seed {seed}: {first} ({} in all)", sim.violations.len()));
             println!("{}", sim.logs());
         }
-        let whole = sim.run_until(60_000, Simulation::has_converged);
-        settled += u64::from(whole);
-        if !whole {
+        let converged = sim.run_until(60_000, Simulation::has_converged);
+        settled += u64::from(converged);
+        if !converged {
             println!("seed {seed} does not converge: {}{}", sim.dump(), sim.logs());
         }
     }
     println!(
-        "{seeds} seeds: {left} leavings, {} broke a bound, {settled} whole again within a minute",
+        "{seeds} seeds: {left} departures, {} violated an invariant, {settled} converged within a minute",
         broken.len()
     );
     assert!(broken.is_empty(), "{broken:#?}");
--- a/fleet/tests/streams.rs
+++ b/fleet/tests/streams.rs
@@ -81,19 +81,19 @@
     assert!(sim.run_until(FAILOVER_DEADLINE_MS, second), "{}", sim.logs());
     let leader = sim.leader().expect("a leader");
     // The older epoch can't close the stream; the later one can, once.
-    let settle = |epoch| Command::CloseStream { stream, epoch };
-    let refused = sim.command(leader, settle(1)).expect("an outcome");
+    let close = |epoch| Command::CloseStream { stream, epoch };
+    let refused = sim.command(leader, close(1)).expect("an outcome");
     assert!(matches!(refused, Err(Rejection::Fenced { .. })), "{refused:?}");
-    assert_eq!(sim.command(leader, settle(2)), Some(Ok(())));
-    assert!(matches!(sim.command(leader, settle(2)), Some(Err(Rejection::Fenced { .. }))));
+    assert_eq!(sim.command(leader, close(2)), Some(Ok(())));
+    assert!(matches!(sim.command(leader, close(2)), Some(Err(Rejection::Fenced { .. }))));
     sim.run(10_000);
     assert_eq!(stream_owner(&sim, stream), None, "a closed stream has no successor");
     // Only the leader may propose a failover.
-    let told = sim.request(
+    let response = sim.request(
         leader,
         LeaderRequest::Execute(Command::FailOver { stream, epoch: 1, name: "n1".into(), boot: 1 }),
     );
-    assert!(matches!(told, Some(LeaderResponse::Outcome(Err(Rejection::NotAllowed(_))))), "{told:?}");
+    assert!(matches!(response, Some(LeaderResponse::Outcome(Err(Rejection::NotAllowed(_))))), "{response:?}");
     assert_no_violations(&sim);
 }
 
@@ -101,7 +101,7 @@
 /// effect.
 #[test]
 fn a_stalled_or_partitioned_primary_does_not_act_as_one() {
-    let mut succeeded = 0;
+    let mut failovers = 0;
     for seed in 1..25 {
         // Clocks drift by no more than the bound that the implementation assumes.
         let mut sim = converged(seed, 5, [0, 40_000, 10_000, 20_000, 30_000]);
@@ -118,12 +118,12 @@
         assert!(sim.run_until(30_000, Simulation::has_converged), "seed {seed}: {}", sim.dump());
         sim.run(6_000);
         let by = stream_owner(&sim, stream);
-        succeeded += usize::from(by.is_some());
+        failovers += usize::from(by.is_some());
         assert_eq!(sim.acting_primaries(stream).len(), 1, "seed {seed}: {by:?}");
         assert!(for_ms > 3_000 || by.is_none(), "seed {seed}: no failover after {for_ms} ms");
         assert_no_violations(&sim);
     }
-    assert!(succeeded > 5, "{succeeded}");
+    assert!(failovers > 5, "{failovers}");
 }
 
 /// The leader is partitioned together with one other member, and renews its lease until it notices that it
@@ -131,7 +131,7 @@
 /// not renew the other's lease then.
 #[test]
 fn a_deposed_leader_soon_renews_no_leases() {
-    let mut succeeded = 0;
+    let mut failovers = 0;
     for seed in 1..40 {
         let mut sim = converged(seed, 5, []);
         let leader = sim.leader().expect("a leader");
@@ -144,13 +144,13 @@
         }
         sim.partition(|index| usize::from(index == leader || index == other));
         sim.run(12_000);
-        succeeded += usize::from(stream_owner(&sim, stream).is_some());
+        failovers += usize::from(stream_owner(&sim, stream).is_some());
         sim.heal();
         assert!(sim.run_until(30_000, Simulation::has_converged), "seed {seed}: {}", sim.dump());
         sim.run(3_000);
         assert_no_violations(&sim);
     }
-    assert!(succeeded > 20, "{succeeded}");
+    assert!(failovers > 20, "{failovers}");
 }
 
 /// Without a majority there is no failover, and leases expire.
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Default)]
 pub struct Directory {
-    pub page: Option<PersistentState>,
+    pub state: Option<PersistentState>,
     pub log: LogImage,
 }
 
@@ -169,11 +169,11 @@
         self.streams.push(Stream { boot, index, held: Vec::new() });
         let machine = &mut self.machines[index];
         assert!(machine.node.is_none(), "{index} runs");
-        let page = machine.directory.page.get_or_insert_with(|| PersistentState::first(disk)).clone();
+        let state = machine.directory.state.get_or_insert_with(|| PersistentState::first(disk)).clone();
         let me = Member { boot, ..machine.member.clone() };
         let now = machine.clock(self.now);
         let setup = NodeConfig { minor: machine.minor, ..self.setup.clone() };
-        let node = Node::new(now, setup, me, page, &machine.directory.log.persisted(), seed);
+        let node = Node::new(now, setup, me, state, &machine.directory.log.persisted(), seed);
         machine.node = Some(node.expect("the persisted log is valid"));
         (machine.away, machine.stalled_until) = (None, 0);
         machine.held.clear();
@@ -296,9 +296,9 @@
             let machine = &mut self.machines[index];
             match effect {
                 Effect::WriteLog(write) => machine.directory.log.write(write),
-                Effect::Persist(page) => machine.directory.page = Some(*page),
+                Effect::Persist(state) => machine.directory.state = Some(*state),
                 Effect::ReplaceLog { state, log } => {
-                    machine.directory = Directory { page: Some(*state), log: LogImage::default() };
+                    machine.directory = Directory { state: Some(*state), log: LogImage::default() };
                     if let Some(write) = log {
                         machine.directory.log.write(write);
                     }
@@ -517,12 +517,12 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |index: &usize| {
+        let is_leader = |index: &usize| {
             let machine = &self.machines[*index];
             machine.stalled_until <= self.now && machine.node.as_ref().is_some_and(Node::is_leader)
         };
         (0..self.machines.len())
-            .filter(leads)
+            .filter(is_leader)
             .max_by_key(|index| self.machines[*index].node.as_ref().map_or(0, |node| node.metrics().term))
     }
 
@@ -573,7 +573,7 @@
     /// All running members see each other alive, and there is a leader of a complete group.
     pub fn has_converged(&self) -> bool {
         let running = self.machines.iter().filter(|machine| machine.node.is_some()).count();
-        let whole = |machine: &Machine| {
+        let sees_all = |machine: &Machine| {
             machine.node.as_ref().is_none_or(|node| {
                 let alive = node.members().iter().filter(|(_, health)| *health == Health::Alive).count();
                 alive == running
@@ -590,7 +590,7 @@
             .collect();
         self.leader().is_some_and(|leader| {
             self.node(leader).cluster_state().voters.keys().all(|id| running.get(id) == Some(&true))
-        }) && self.machines.iter().all(whole)
+        }) && self.machines.iter().all(sees_all)
     }
 
     pub fn logs(&self) -> String {
