--- a/fleet/src/node/leader.rs
+++ b/fleet/src/node/leader.rs
@@ -16,8 +16,8 @@
 const CLOCK_ENTRY_INTERVAL: Millis = 2_000;
 /// A voter's snapshot that may have been lost is sent again after this interval.
 const SNAPSHOT_RETRY: Millis = 2_000;
-/// A load up to this value (in thousandths of a set-up per second) never counts as a jump; above it a jump
-/// is an increase over the mean by at least the factor.
+/// The total load has jumped if it is above this floor (in thousandths of a set-up per second) and above
+/// the mean times this factor.
 const LOAD_JUMP_FLOOR_MILLI: u64 = 20_000;
 const LOAD_JUMP_FACTOR: f64 = 1.5;
 
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -16,7 +16,7 @@
     /// The approval under which it left; kept over a crash.
     away: Option<u64>,
     /// Its last request to leave: the approval, and the number of the request.
-    asked: Option<(u64, u64)>,
+    request: Option<(u64, u64)>,
     /// Responses in flight to the machine.
     responses: Vec<(u64, bool)>,
 }
@@ -58,7 +58,7 @@
         machine: usize,
         event: Event,
     },
-    Back(usize),
+    Return(usize),
 }
 
 struct ApprovalModel {
@@ -77,7 +77,7 @@
     /// A machine leaves as soon as it sees its approval.
     NoConfirmation,
     /// A machine accepts any response as the one to its request.
-    AnyAnswer,
+    AnyResponse,
     /// A request is closed as soon as operators finish it, before the machine returns.
     CloseOnFinish,
 }
@@ -105,16 +105,16 @@
     fn init_states(&self) -> Vec<ModelState> {
         let mut cluster_state = ClusterState::default();
         let mut count = 0;
-        let mut say = |command| {
+        let mut apply = |command| {
             count += 1;
             let entry = LogEntry { id: CommandId { origin: 0, count }, at_ms: 0, command };
             cluster_state.apply(&entry).expect("initial command accepted");
         };
         for machine in 0..self.machines {
-            say(Command::Join { name: name(machine), zone: self.zones[machine].into(), minor: 1 });
-            say(add(machine));
+            apply(Command::Join { name: name(machine), zone: self.zones[machine].into(), minor: 1 });
+            apply(add(machine));
         }
-        let idle = Machine { away: None, asked: None, responses: Vec::new() };
+        let idle = Machine { away: None, request: None, responses: Vec::new() };
         vec![ModelState {
             cluster_state,
             machines: vec![idle; self.machines],
@@ -134,11 +134,13 @@
                 steps.push(Step::Decide { machine, behind: 1 });
             }
             let own = &snapshot.machines[machine];
-            if has_capacity && own.asked.is_none() && matches!(state, Some(State::Approved | State::Draining))
+            if has_capacity
+                && own.request.is_none()
+                && matches!(state, Some(State::Approved | State::Draining))
             {
                 steps.push(Step::RequestLeave(machine));
             }
-            if own.asked.is_some() && self.machines > 1 {
+            if own.request.is_some() && self.machines > 1 {
                 steps.push(Step::Forget(machine));
             }
             for index in 0..own.responses.len() {
@@ -156,7 +158,7 @@
                     }
                 }
                 if has_capacity && matches!(state, State::Returning | State::Lost) {
-                    steps.push(Step::Back(machine));
+                    steps.push(Step::Return(machine));
                 }
             }
         }
@@ -187,7 +189,7 @@
                 if self.protocol == Protocol::NoConfirmation {
                     own.away = Some(approval);
                 }
-                own.asked = Some((approval, id.count));
+                own.request = Some((approval, id.count));
                 let begin = Command::ReportEvent { machine: name(machine), approval, event: Event::Begin };
                 snapshot.in_flight.push((Some(machine), entry(begin)));
             }
@@ -209,14 +211,15 @@
             Step::Lose(index) => drop(snapshot.in_flight.remove(index)),
             Step::DeliverResponse { machine, index, duplicate } => {
                 let own = &mut snapshot.machines[machine];
-                let (question, done) = own.responses[index];
+                let (request_id, done) = own.responses[index];
                 if !duplicate {
                     own.responses.remove(index);
                 }
-                let asked =
-                    own.asked.filter(|(_, asked)| *asked == question || self.protocol == Protocol::AnyAnswer);
-                let (approval, _) = asked?;
-                own.asked = None;
+                let request = own
+                    .request
+                    .filter(|(_, request)| *request == request_id || self.protocol == Protocol::AnyResponse);
+                let (approval, _) = request?;
+                own.request = None;
                 if done {
                     own.away = Some(approval);
                 }
@@ -224,7 +227,7 @@
             Step::RequestAgain(machine) => {
                 snapshot.cluster_state.apply(&entry(add(machine))).ok()?;
             }
-            Step::Forget(machine) => snapshot.machines[machine].asked = None,
+            Step::Forget(machine) => snapshot.machines[machine].request = None,
             Step::ApplyEvent { machine, event } => {
                 let item = snapshot.cluster_state.open_request(&name(machine))?;
                 let command = match event {
@@ -254,10 +257,10 @@
                 }
             }
             // The machine serves again, and reports it after that.
-            Step::Back(machine) => {
+            Step::Return(machine) => {
                 let approval = snapshot.cluster_state.open_request(&name(machine))?.approval?;
                 let own = &mut snapshot.machines[machine];
-                (own.away, own.asked) = (None, None);
+                (own.away, own.request) = (None, None);
                 let back = Command::ReportEvent { machine: name(machine), approval, event: Event::Returned };
                 snapshot.in_flight.push((None, entry(back)));
             }
@@ -312,7 +315,7 @@
 #[test]
 fn without_any_part_of_the_protocol_a_property_is_violated() {
     for (machines, protocol) in
-        [(2, Protocol::NoConfirmation), (1, Protocol::AnyAnswer), (2, Protocol::CloseOnFinish)]
+        [(2, Protocol::NoConfirmation), (1, Protocol::AnyResponse), (2, Protocol::CloseOnFinish)]
     {
         assert!(!violated_properties(machines, protocol).is_empty(), "{protocol:?}");
     }
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -39,7 +39,7 @@
     /// The process gets no processor time until then.
     pub stalled_until: u64,
     inbox: VecDeque<Envelope>,
-    /// The approval under which it has drained.
+    /// The approval under which it drains or has drained.
     pub away: Option<u64>,
     away_since: u64,
     /// It has not served since its start.
