--- a/fleet/src/node/local_maintenance.rs
+++ b/fleet/src/node/local_maintenance.rs
@@ -56,7 +56,7 @@
         }
         let command = Command::ReportEvent { machine: name.into(), approval, event: Event::Begin };
         // Recorded first, since the response is immediate if this member is the leader.
-        let id = CommandId { origin: self.me().boot, count: self.count + 1 };
+        let id = CommandId { origin: self.me().boot, count: self.command_count + 1 };
         self.leave_request = Some((id, now, approval));
         self.submit(now, LeaderRequest::Execute(command));
     }
@@ -97,14 +97,14 @@
 
     /// Reports an event about this machine, once, until it is committed or rejected.
     pub(super) fn report(&mut self, now: Millis, machine: &str, approval: u64, event: Event) {
-        let said = |(id, said, by, cluster_state): (CommandId, Event, u64, bool)| {
-            (said, by) == (event, approval) && (cluster_state || self.pending_requests.contains_key(&id))
+        let is_reported = |(id, reported, under, committed): (CommandId, Event, u64, bool)| {
+            (reported, under) == (event, approval) && (committed || self.pending_requests.contains_key(&id))
         };
-        if self.pending_report.is_some_and(said) {
+        if self.pending_report.is_some_and(is_reported) {
             return;
         }
         let command = Command::ReportEvent { machine: machine.into(), approval, event };
-        let id = CommandId { origin: self.me().boot, count: self.count + 1 };
+        let id = CommandId { origin: self.me().boot, count: self.command_count + 1 };
         self.pending_report = Some((id, event, approval, false));
         self.submit(now, LeaderRequest::Execute(command));
     }
