--- a/signalling/benches/structures.rs
+++ b/signalling/benches/structures.rs
@@ -1,7 +1,7 @@
 //! Benchmarks of the timer wheel against a binary heap, and of the prefix trie against a scan, with the same
 //! operations.
 //!
-//! `cargo bench -p steprelay-signalling --bench structures`. Compare figures within one run only.
+//! `cargo bench -p steprelay-signalling --bench structures`. Only ratios within one run are comparable.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
--- a/signalling/src/circuits/mod.rs
+++ b/signalling/src/circuits/mod.rs
@@ -541,8 +541,8 @@
             Event::Audit => self.query_all(now),
             Event::NumberAnalysed { circuit, complete } => self.number_analysed(circuit, complete),
             Event::Timeout => {
-                while let Some(due) = self.wheel.expire(now) {
-                    self.timer_expired(now, due);
+                while let Some(target) = self.wheel.expire(now) {
+                    self.timer_expired(now, target);
                 }
             }
         }
@@ -575,7 +575,7 @@
         let record = self.records.entry(circuit).or_default();
         let before = std::mem::replace(&mut record.state, state);
         record.suspended = false;
-        let idle = record.state == State::Idle;
+        let is_idle = record.state == State::Idle;
         let established = record.state.established_call();
         if let Some((call, _)) = before.call().filter(|call| record.state.call() != Some(*call)) {
             self.calls.remove(&call);
@@ -589,18 +589,18 @@
         }
         self.stop_call_timers(circuit);
         self.update_indexes(circuit);
-        if idle && before != State::Idle {
+        if is_idle && before != State::Idle {
             self.effects.push(Effect::Idle { circuit });
         }
     }
 
     /// Drops the record of a circuit in the default state, and updates the index of free circuits.
     fn update_indexes(&mut self, circuit: Circuit) {
-        let (idle, is_default) = match self.records.get(&circuit) {
+        let (is_idle, is_default) = match self.records.get(&circuit) {
             None => (true, true),
             Some(record) => {
-                let idle = record.state == State::Idle && !record.local.any() && !record.remote.any();
-                (idle, idle && !record.blocking_pending && record.timers.iter().all(Option::is_none))
+                let is_idle = record.state == State::Idle && !record.local.any() && !record.remote.any();
+                (is_idle, is_idle && !record.blocking_pending && record.timers.iter().all(Option::is_none))
             }
         };
         if is_default {
@@ -609,7 +609,7 @@
         if !self.config.outgoing {
             return;
         }
-        match (idle, self.ranks.get(&circuit).copied()) {
+        match (is_idle, self.ranks.get(&circuit).copied()) {
             (true, None) => {
                 self.last_number += 1;
                 let rank = match self.config.selection {
--- a/signalling/src/circuits/tests.rs
+++ b/signalling/src/circuits/tests.rs
@@ -375,10 +375,10 @@
                 if sent {
                     checker.record_move(circuit, &body);
                 }
-                let takes =
+                let accepts_set_up =
                     matches!(trunk.state(circuit), State::Idle | State::Unequipped | State::SetUpSent { .. })
                         && !trunk.records.get(&circuit).is_some_and(|record| record.local.any());
-                if matches!(body, Body::SetUp(_)) && takes && (!sent || circuit.is_multiple_of(2)) {
+                if matches!(body, Body::SetUp(_)) && accepts_set_up && (!sent || circuit.is_multiple_of(2)) {
                     // A set-up of the peer on a circuit that it has blocked removes its blocking.
                     checker.blocked.retain(|(blocked, _)| *blocked != circuit);
                 }
--- a/signalling/src/circuits/timers.rs
+++ b/signalling/src/circuits/timers.rs
@@ -183,8 +183,8 @@
         self.wheel.set(now + self.config.timers.duration(timer), TimerTarget::Group(number, timer))
     }
 
-    pub(super) fn timer_expired(&mut self, now: Micros, due: TimerTarget) {
-        let (circuit, timer) = match due {
+    pub(super) fn timer_expired(&mut self, now: Micros, target: TimerTarget) {
+        let (circuit, timer) = match target {
             TimerTarget::Group(number, timer) => return self.group_timer_expired(now, number, timer),
             TimerTarget::Circuit(circuit, timer) => (circuit, timer),
         };
