--- a/agent/src/fleet/command.rs
+++ b/agent/src/fleet/command.rs
@@ -239,9 +239,9 @@
         "m" => 60_000,
         "h" => 3_600_000,
         "d" => 86_400_000,
-        _ => return Err(format!("'{text}' is no time: 90s, 10m, 2h")),
+        _ => return Err(format!("'{text}' is not a duration: 90s, 10m, 2h")),
     };
-    let number: Millis = number.parse().map_err(|_| format!("'{text}' is no time: 90s, 10m, 2h"))?;
+    let number: Millis = number.parse().map_err(|_| format!("'{text}' is not a duration: 90s, 10m, 2h"))?;
     match number.checked_mul(factor) {
         Some(time) if time > 0 && time <= 366 * 86_400_000 => Ok(time),
         _ => Err(format!("'{text}' is not between 1ms and a year")),
@@ -337,7 +337,7 @@
 impl Roll {
     fn run(self, ask: impl Fn(Request) -> Result<Response, CommandError>) -> Result<(), CommandError> {
         if self.all == self.zone.is_some() {
-            return Err(CommandError::Usage("name a zone with --zone, or say --all".into()));
+            return Err(CommandError::Usage("give a zone with --zone, or --all".into()));
         }
         let members = members(ask(Request::Members)?);
         let in_zone = |row: &&MemberRow| self.zone.as_ref().is_none_or(|zone| row.zone == *zone);
@@ -382,7 +382,7 @@
                 let mut rows = work(ask(Request::Work)?);
                 rows.retain(|row| row.machine == machine);
                 if rows.is_empty() {
-                    return Err(CommandError::Refused(format!("no work on {machine} was asked for")));
+                    return Err(CommandError::Refused(format!("no work on {machine} was requested")));
                 }
                 show(rows, json)?;
             }
@@ -408,7 +408,7 @@
                     "out" => return Ok(()),
                     "requested" | "granted" | "draining" => {}
                     "" => {
-                        return Err(CommandError::Refused(format!("no work on {machine} was asked for")));
+                        return Err(CommandError::Refused(format!("no work on {machine} was requested")));
                     }
                     state => return Err(CommandError::Refused(format!("work on {machine} is {state}"))),
                 }
--- a/agent/src/fleet/config.rs
+++ b/agent/src/fleet/config.rs
@@ -167,7 +167,7 @@
             )
         })?;
         if !anywhere && !address.ip().is_loopback() {
-            let why = format!("{address} is no loopback address; beyond_loopback = true allows it");
+            let why = format!("{address} is not a loopback address; beyond_loopback = true allows it");
             return Err(self.invalid(span, key, why));
         }
         Ok(address)
@@ -202,11 +202,11 @@
         }
         let after_copies = self.either(&raw.answer, "copies.answer", "after-copies", "at-once")?;
         if after_copies && required_acks == 0 {
-            let why = "0 waits for nobody; answer = \"at-once\" says so";
+            let why = "0 needs no acknowledgement; use answer = \"at-once\"";
             return Err(self.invalid(raw.needed.span(), "copies.needed", why));
         }
         if let Some(directory) = &raw.directory {
-            let why = "copies on disk are not there yet";
+            let why = "copies on disk are not supported";
             return Err(self.invalid(directory.span(), "copies.directory", why));
         }
         Ok(CopiesConfig {
@@ -234,7 +234,7 @@
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(is_allowed) {
         return Err(format!(
-            "'{}' is no name: 1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' or '.'",
+            "'{}' is not a valid name: 1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' or '.'",
             name.escape_debug()
         ));
     }
@@ -292,7 +292,7 @@
             return Err(check.invalid(
                 work.most_out.span(),
                 "work.most_out",
-                "0 would never let a machine go",
+                "0 would never allow work on a machine",
             ));
         }
         let minor = match &raw.speaks {
@@ -364,14 +364,14 @@
     #[test]
     fn errors_name_the_file_line_and_key() {
         for (from, to, said) in [
-            ("\"kl\"", "\"\"", "f.toml, line 1, cluster: '' is no name"),
+            ("\"kl\"", "\"\"", "f.toml, line 1, cluster: '' is not a valid name"),
             ("\"n1\"\nzone", "\"s-0a\"\nzone", "f.toml, line 2, name: 's-0a' names a check server"),
             (
                 "\"127.0.0.1:7801\"",
                 "\"here\"",
                 "f.toml, line 4, listen: 'here' is not an address with a port",
             ),
-            ("\"127.0.0.1:7801\"", "\"10.0.0.1:1\"", "f.toml, line 4, listen: 10.0.0.1:1 is no loopback"),
+            ("\"127.0.0.1:7801\"", "\"10.0.0.1:1\"", "f.toml, line 4, listen: 10.0.0.1:1 is not a loopback"),
             ("[\"127.0.0.2:7801\"]", "[\"x\"]", "f.toml, line 5, seeds: 'x' is not an address"),
             ("\"n2\", \"n3\"", "\"n1\"", "f.toml, line 6, founders: 'n1' is listed twice"),
             ("[\"n1\", \"n2\", \"n3\"]", "[]", "f.toml, line 6, founders: 1 to 5 names"),
@@ -387,7 +387,11 @@
                 "[copies]\nneeded = 3\n[work]",
                 "f.toml, line 10, copies.needed: more than the copies, 2",
             ),
-            ("[work]", "[copies]\nneeded = 0\n[work]", "f.toml, line 10, copies.needed: 0 waits for nobody"),
+            (
+                "[work]",
+                "[copies]\nneeded = 0\n[work]",
+                "f.toml, line 10, copies.needed: 0 needs no acknowledgement",
+            ),
             (
                 "[work]",
                 "[copies]\nanswer = \"soon\"\n[work]",
--- a/agent/src/fleet/control.rs
+++ b/agent/src/fleet/control.rs
@@ -94,9 +94,9 @@
 pub enum ControlError {
     #[error("no program serves the fleet from {}: {error}", path.display())]
     NotThere { path: PathBuf, error: std::io::Error },
-    #[error("the program gave no answer: {0}")]
+    #[error("the program did not respond: {0}")]
     NoAnswer(std::io::Error),
-    #[error("the program's answer can't be read: {0}")]
+    #[error("the program's response cannot be read: {0}")]
     NotJson(#[from] serde_json::Error),
 }
 
@@ -160,7 +160,7 @@
                         _ => Response::Refused { why: "the program is stopping".into() },
                     }
                 }
-                Err(error) => Response::Refused { why: format!("the command can't be read: {error}") },
+                Err(error) => Response::Refused { why: format!("the command cannot be read: {error}") },
             }
         }
         Err(_) => Response::Refused { why: "no complete line was received in time".into() },
--- a/agent/src/fleet/frames.rs
+++ b/agent/src/fleet/frames.rs
@@ -113,7 +113,7 @@
         newer.extend_from_slice(b"a field that is new");
         let frame = [&(newer.len() as u32 - 4).to_be_bytes()[..], &newer[4..]].concat();
         assert_eq!(decode(body(&frame)), Ok(Some(sent.clone())), "fields added at the end are ignored");
-        // An unknown kind of payload: the last octet of a greeting is the number of its kind.
+        // An unknown kind of payload: the last octet of a Hello is the number of its kind.
         let mut unknown = encode(&sent);
         *unknown.last_mut().expect("a frame") = 99;
         assert_eq!(decode(body(&unknown)), Ok(None), "an unknown payload is ignored");
--- a/agent/src/fleet/links.rs
+++ b/agent/src/fleet/links.rs
@@ -396,10 +396,10 @@
                     let _ = ended.send((from, link));
                     return;
                 }
-                Ok(Ok(Ok(_))) => "the first frame must be a greeting".to_string(),
+                Ok(Ok(Ok(_))) => "a first word is a greeting".to_string(),
                 Ok(Ok(Err(error))) => error.to_string(),
                 Ok(Err(_)) => return,
-                Err(_) => "no greeting was received in time".to_string(),
+                Err(_) => "no greeting came".to_string(),
             };
             let frame = refuse(why.clone());
             let _ = timeout(REJECTION_WRITE_TIMEOUT, write.write_all(&frame)).await;
--- a/agent/src/fleet/mod.rs
+++ b/agent/src/fleet/mod.rs
@@ -94,7 +94,7 @@
         let listens = listener.local_addr().map_err(io("listen".into()))?;
         let disk = random_u64().map_err(io("/dev/urandom".into()))?;
         let boot = random_u64().map_err(io("/dev/urandom".into()))?;
-        let (store, page, log) =
+        let (store, state, log) =
             Store::open(&config.directory, &config.cluster, &config.name, || PersistentState::first(disk))?;
         let control = {
             let directory = config.directory.display().to_string();
@@ -106,8 +106,8 @@
             name: config.name.clone(),
             zone: config.zone.clone(),
             address: config.advertise.unwrap_or(listens),
-            node: page.node,
-            incarnation: page.incarnation,
+            node: state.node,
+            incarnation: state.incarnation,
             boot,
         };
         let setup = NodeConfig {
@@ -140,7 +140,7 @@
         let (seeds, from) = (config.seeds, SocketAddr::new(listens.ip(), 0));
         let thread = std::thread::Builder::new().name("fleet".into());
         let run = move || {
-            let node = match Node::new(0, setup, me, page, &log, seed) {
+            let node = match Node::new(0, setup, me, state, &log, seed) {
                 Ok(node) => node,
                 Err(error) => return drop(ready.send(Err(FleetError::Consensus(error)))),
             };
--- a/agent/src/fleet/owner.rs
+++ b/agent/src/fleet/owner.rs
@@ -97,7 +97,7 @@
     /// Serves until the program stops.
     ///
     /// # Errors
-    /// The disk rejects a write: this member can make no further promise, and sends no further message.
+    /// The disk rejects a write: this member can persist nothing more, and sends no further message.
     pub async fn run(
         mut self,
         mut events: mpsc::Receiver<LinkEvent>,
@@ -217,7 +217,7 @@
         for effect in self.node.take_effects() {
             let change = match effect {
                 Effect::WriteLog(write) => Change::Log(write),
-                Effect::Persist(page) => Change::Page(page),
+                Effect::Persist(state) => Change::State(state),
                 Effect::ReplaceLog { state, log } => Change::Replace(state, log),
                 other => {
                     if !changes.is_empty() {
--- a/agent/src/fleet/store.rs
+++ b/agent/src/fleet/store.rs
@@ -9,7 +9,8 @@
 
 /// Entries of the consensus log, by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// `hard`, `snapshot`, `page` and `about`.
+/// The consensus hard state, the snapshot, the member's state and its owner, under `hard`, `snapshot`, `page`
+/// and `about`.
 const PAGES: TableDefinition<&str, &[u8]> = TableDefinition::new("pages");
 /// The version of this layout.
 const LAYOUT: &str = "1";
@@ -20,16 +21,16 @@
     Directory { path: PathBuf, error: std::io::Error },
     #[error("{}: {error}", path.display())]
     Unusable { path: PathBuf, error: Box<redb::Error> },
-    #[error("{}: it belongs to {found}, not to {wanted}", path.display())]
-    OtherOwner { path: PathBuf, found: String, wanted: String },
-    #[error("{}: its state page cannot be read", path.display())]
+    #[error("{}: it belongs to {found}, not to {expected}", path.display())]
+    OtherOwner { path: PathBuf, found: String, expected: String },
+    #[error("{}: its state cannot be read", path.display())]
     Corrupt { path: PathBuf },
 }
 
 /// A change to be written.
 pub enum Change {
     Log(Write),
-    Page(Box<PersistentState>),
+    State(Box<PersistentState>),
     /// Replaces the log.
     Replace(Box<PersistentState>, Option<Write>),
 }
@@ -57,41 +58,41 @@
             |error: redb::Error| StoreError::Unusable { path: path.clone(), error: Box::new(error) };
         let database = Database::create(&path).map_err(|error| unusable(error.into()))?;
         let store = Store { path: path.clone(), database };
-        let wanted = format!("cluster {cluster}, member {name}, layout {LAYOUT}");
-        let (about, page) = store.pages().map_err(unusable)?;
-        if let Some(found) = about.filter(|found| *found != wanted) {
-            return Err(StoreError::OtherOwner { path, found, wanted });
+        let expected = format!("cluster {cluster}, member {name}, layout {LAYOUT}");
+        let (owner, state) = store.read_owner_and_state().map_err(unusable)?;
+        if let Some(found) = owner.filter(|found| *found != expected) {
+            return Err(StoreError::OtherOwner { path, found, expected });
         }
-        let page = match page {
+        let state = match state {
             Some(bytes) => {
                 PersistentState::from_bytes(&bytes).ok_or(StoreError::Corrupt { path: path.clone() })?
             }
             None => first(),
         };
-        let log = store.load_log(&wanted).map_err(unusable)?;
-        Ok((store, page, log))
+        let log = store.load_log(&expected).map_err(unusable)?;
+        Ok((store, state, log))
     }
 
-    fn pages(&self) -> Result<(Option<String>, Option<Vec<u8>>), redb::Error> {
+    fn read_owner_and_state(&self) -> Result<(Option<String>, Option<Vec<u8>>), redb::Error> {
         let transaction = self.database.begin_write()?;
         let found = {
-            let pages = transaction.open_table(PAGES)?;
-            let about = pages.get("about")?.map(|about| String::from_utf8_lossy(about.value()).into_owned());
-            let page = pages.get("page")?.map(|page| page.value().to_vec());
-            (about, page)
+            let table = transaction.open_table(PAGES)?;
+            let owner = table.get("about")?.map(|owner| String::from_utf8_lossy(owner.value()).into_owned());
+            let state = table.get("page")?.map(|state| state.value().to_vec());
+            (owner, state)
         };
         transaction.commit()?;
         Ok(found)
     }
 
-    fn load_log(&self, about: &str) -> Result<PersistedLog, redb::Error> {
+    fn load_log(&self, owner: &str) -> Result<PersistedLog, redb::Error> {
         let transaction = self.database.begin_write()?;
         let mut persisted = PersistedLog::default();
         {
-            let mut pages = transaction.open_table(PAGES)?;
-            pages.insert("about", about.as_bytes())?;
+            let mut table = transaction.open_table(PAGES)?;
+            table.insert("about", owner.as_bytes())?;
             let of = |name| {
-                Ok::<_, redb::Error>(pages.get(name)?.map_or(Vec::new(), |page| page.value().to_vec()))
+                Ok::<_, redb::Error>(table.get(name)?.map_or(Vec::new(), |state| state.value().to_vec()))
             };
             (persisted.hard, persisted.snapshot) = (of("hard")?, of("snapshot")?);
             let log = transaction.open_table(LOG)?;
@@ -115,26 +116,26 @@
     fn write_transaction(&self, changes: Vec<Change>) -> Result<(), redb::Error> {
         let transaction = self.database.begin_write()?;
         {
-            let mut pages = transaction.open_table(PAGES)?;
+            let mut table = transaction.open_table(PAGES)?;
             let mut log = transaction.open_table(LOG)?;
             for change in changes {
                 let write = match change {
                     Change::Log(write) => Some(write),
-                    Change::Page(page) => {
-                        pages.insert("page", page.to_bytes().as_slice())?;
+                    Change::State(state) => {
+                        table.insert("page", state.to_bytes().as_slice())?;
                         None
                     }
-                    Change::Replace(page, write) => {
-                        pages.insert("page", page.to_bytes().as_slice())?;
-                        pages.remove("hard")?;
-                        pages.remove("snapshot")?;
+                    Change::Replace(state, write) => {
+                        table.insert("page", state.to_bytes().as_slice())?;
+                        table.remove("hard")?;
+                        table.remove("snapshot")?;
                         log.retain(|_, _| false)?;
                         write
                     }
                 };
                 match write {
                     Some(Write::HardState(bytes)) => {
-                        pages.insert("hard", bytes.as_slice())?;
+                        table.insert("hard", bytes.as_slice())?;
                     }
                     Some(Write::Entries(entries)) => {
                         if let Some((first, _)) = entries.first() {
@@ -145,7 +146,7 @@
                         }
                     }
                     Some(Write::Snapshot { index, bytes, replace_all }) => {
-                        pages.insert("snapshot", bytes.as_slice())?;
+                        table.insert("snapshot", bytes.as_slice())?;
                         if replace_all {
                             log.retain(|_, _| false)?;
                         } else {
@@ -175,14 +176,14 @@
     fn written_state_is_read_at_the_next_start() {
         let path = directory("next");
         let first = || PersistentState::first(7);
-        let (store, mut page, _) = Store::open(&path, "kl", "n1", first).expect("opens");
-        assert_eq!(page.node, 7);
-        page.incarnation = 3;
+        let (store, mut state, _) = Store::open(&path, "kl", "n1", first).expect("opens");
+        assert_eq!(state.node, 7);
+        state.incarnation = 3;
         let entries = (1..=5).map(|index| (index, vec![index as u8])).collect();
         let over = vec![(4, vec![44])];
         store
             .write(vec![
-                Change::Page(Box::new(page)),
+                Change::State(Box::new(state)),
                 Change::Log(Write::HardState(vec![9])),
                 Change::Log(Write::Entries(entries)),
                 Change::Log(Write::Entries(over)),
@@ -190,16 +191,22 @@
             ])
             .expect("written");
         drop(store);
-        let (store, page, kept) =
+        let (store, state, persisted) =
             Store::open(&path, "kl", "n1", || PersistentState::first(8)).expect("opens again");
-        assert_eq!((page.node, page.incarnation), (7, 3));
-        assert_eq!((kept.hard, kept.snapshot, kept.entries), (vec![9], vec![2], vec![vec![3], vec![44]]));
+        assert_eq!((state.node, state.incarnation), (7, 3));
+        assert_eq!(
+            (persisted.hard, persisted.snapshot, persisted.entries),
+            (vec![9], vec![2], vec![vec![3], vec![44]])
+        );
         let renewed = Change::Replace(Box::new(PersistentState::first(9)), None);
         store.write(vec![renewed]).expect("written");
         drop(store);
-        let (_, page, kept) =
+        let (_, state, persisted) =
             Store::open(&path, "kl", "n1", || PersistentState::first(8)).expect("opens again");
-        assert_eq!((page.node, kept.hard.len(), kept.snapshot.len(), kept.entries.len()), (9, 0, 0, 0));
+        assert_eq!(
+            (state.node, persisted.hard.len(), persisted.snapshot.len(), persisted.entries.len()),
+            (9, 0, 0, 0)
+        );
         let _ = std::fs::remove_dir_all(&path);
     }
 
--- a/agent/src/inherited.rs
+++ b/agent/src/inherited.rs
@@ -9,11 +9,11 @@
 /// Why an inherited descriptor is not the socket that callers connect to.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedError {
-    #[error("'{0}' is no number of a descriptor")]
+    #[error("'{0}' is not a descriptor number")]
     InvalidNumber(String),
     #[error("descriptor {0}: {1}")]
     Unusable(RawFd, io::Error),
-    #[error("descriptor {0} is no listening TCP socket")]
+    #[error("descriptor {0} is not a listening TCP socket")]
     NotListening(RawFd),
     #[error("descriptor {0} listens on {1}, not on {2}")]
     Elsewhere(RawFd, SocketAddr, SocketAddr),
@@ -67,10 +67,13 @@
         let said = |number: &str, address| listener(number, address).expect_err("bad").to_string();
         assert_eq!(said(&number, other), format!("descriptor {number} listens on {address}, not on {other}"));
         for fd in [file.as_raw_fd(), peer.as_raw_fd()] {
-            assert_eq!(said(&fd.to_string(), address), format!("descriptor {fd} is no listening TCP socket"));
+            assert_eq!(
+                said(&fd.to_string(), address),
+                format!("descriptor {fd} is not a listening TCP socket")
+            );
         }
-        assert_eq!(said("4x", address), "'4x' is no number of a descriptor");
-        assert_eq!(said("1", address), "'1' is no number of a descriptor");
+        assert_eq!(said("4x", address), "'4x' is not a descriptor number");
+        assert_eq!(said("1", address), "'1' is not a descriptor number");
         assert!(said("1000000", address).starts_with("descriptor 1000000: "));
     }
 }
--- a/agent/src/ops/line.rs
+++ b/agent/src/ops/line.rs
@@ -3,7 +3,7 @@
 use steprelay_core::lifecycle::State;
 
 use steprelay_copies::member::ReplicationStats;
-use steprelay_fleet::node::Metrics as FleetFigures;
+use steprelay_fleet::node::Metrics as FleetMetrics;
 
 use crate::ports::Snapshot;
 
@@ -101,12 +101,12 @@
     put("discovery.calls", figures.tallies.discovery_calls);
     put("discovery.failures", figures.tallies.discovery_failures);
     if let Some(fleet) = &figures.fleet {
-        for (name, value) in fleet_figures(fleet) {
+        for (name, value) in cluster_metrics(fleet) {
             put(&format!("fleet.{name}"), value);
         }
     }
     if let Some(copies) = &figures.copies {
-        for (name, value) in copy_figures(copies) {
+        for (name, value) in replication_metrics(copies) {
             put(&format!("copies.{name}"), value);
         }
         put("copies.uncopied", figures.uncopied);
@@ -116,7 +116,7 @@
 }
 
 /// The replication metrics by their names.
-pub fn copy_figures(copies: &ReplicationStats) -> [(&'static str, u64); 9] {
+pub fn replication_metrics(copies: &ReplicationStats) -> [(&'static str, u64); 9] {
     [
         ("own", copies.own_records),
         ("adopted", copies.taken_over_records),
@@ -131,7 +131,7 @@
 }
 
 /// The cluster metrics by their names, in the order of the MIB.
-pub fn fleet_figures(fleet: &FleetFigures) -> [(&'static str, u64); 17] {
+pub fn cluster_metrics(fleet: &FleetMetrics) -> [(&'static str, u64); 17] {
     [
         ("alive", fleet.alive),
         ("suspect", fleet.suspect),
--- a/agent/src/snmp/mib.rs
+++ b/agent/src/snmp/mib.rs
@@ -10,7 +10,7 @@
 use steprelay_core::Breach;
 use steprelay_decisions::Readiness;
 
-use crate::ops::line::fleet_figures;
+use crate::ops::line::cluster_metrics;
 use crate::ports::{SignallingFigures, Snapshot};
 
 /// netSnmpPlaypen 47: a place for MIBs whose organisation has no number of its own.
@@ -95,7 +95,7 @@
         State::Stopping => 4,
     };
     put(&[5, 5, 0], integer(duty));
-    for (place, (_, value)) in (1..).zip(snapshot.fleet.iter().flat_map(fleet_figures)) {
+    for (place, (_, value)) in (1..).zip(snapshot.fleet.iter().flat_map(cluster_metrics)) {
         // The first six and the work are of the moment, the others only grow.
         let of_the_moment = matches!(place, 1..=6 | 10 | 11);
         put(&[9, place, 0], if of_the_moment { gauge(value) } else { counter(value) });
--- a/agent/src/trace.rs
+++ b/agent/src/trace.rs
@@ -1,5 +1,5 @@
-//! The way of each call, a line a step, where `LB_TRACE=calls` asks for it: for following one by its id.
-//! Without it each step costs one look at a number (`tracing`'s highest level).
+//! Traces the steps of each call by its id, one line per step, where `LB_TRACE=calls` enables it. Otherwise
+//! each step costs one comparison with the highest level of `tracing`.
 
 use std::fmt;
 use std::io;
@@ -15,10 +15,13 @@
 
 /// `LB_TRACE` names an unknown trace.
 #[derive(Debug, thiserror::Error)]
-#[error("LB_TRACE: {0:?} can't be traced, only \"calls\"")]
+#[error("LB_TRACE: {0:?} cannot be traced, only \"calls\"")]
 pub struct UnknownTrace(String);
 
-/// Starts the trace that `LB_TRACE` names, if it names one.
+/// Starts the trace that `LB_TRACE` names, if there is one.
+///
+/// # Errors
+/// `LB_TRACE` names an unknown trace.
 pub fn start() -> Result<(), UnknownTrace> {
     match std::env::var("LB_TRACE") {
         Ok(named) if named == "calls" => {
@@ -56,8 +59,8 @@
     }
 }
 
-/// Ready servers, each with the bound of its image, and a `!` where failures keep set-ups from it: what a
-/// refusal follows from.
+/// Formats the ready servers, each with the bound of its image, and a `!` where it is avoided after failures:
+/// the reasons of a refusal.
 struct Servers<'a>(&'a Core, Micros);
 
 impl fmt::Display for Servers<'_> {
@@ -119,8 +122,8 @@
     trace!("{} {event}", Id(call));
 }
 
-/// The lease under which a caller is told something. `left`: until it ends, negative after that, `None`
-/// before the first one. `renounced`: how often calls were given up to a successor.
+/// The lease under which a caller is sent a message. `left`: milliseconds until it ends, negative after that,
+/// `None` before the first one. `renounced`: how often calls were given up to a successor.
 pub fn lease(call: CallId, left: Option<i64>, renounced: u64) {
     match left {
         Some(left) => trace!("{} told with {left} ms of lease left, renounced {renounced}", Id(call)),
--- a/agent/tests/fleet.rs
+++ b/agent/tests/fleet.rs
@@ -430,7 +430,7 @@
     assert!(told(&[0, 0, 0, 5, 0, 9, 0, 0, 0]).contains("version 9.0 is spoken there, and 1.2 here"));
     assert!(told(&[0, 0, 0, 6, 0, 1, 0, 0, 255, 255]).contains("a frame can't be read"));
     assert!(told(&[0xff; 8]).contains("too long"));
-    assert!(told(&[]).contains("no greeting was received in time"));
+    assert!(told(&[]).contains("no greeting came"));
     let (code, said) = rig.staff(0, &["members", "--json"]);
     assert_eq!(code, 0, "{said}");
 }
--- a/agent/tests/upgrade.rs
+++ b/agent/tests/upgrade.rs
@@ -152,7 +152,7 @@
         "the second address is the old one's: {said}"
     );
     let none = || Stdio::null();
-    let wrong = "steprelay: configuration: LB_SOCKET_FD: descriptor 4 is no listening TCP socket\n";
+    let wrong = "steprelay: configuration: LB_SOCKET_FD: descriptor 4 is not a listening TCP socket\n";
     assert_eq!(start("4", &none), (Some(1), wrong.to_string()));
     assert_eq!(start("four", &none).0, Some(1));
     let mut caller = site.caller();
