--- a/agent/src/fleet/links.rs
+++ b/agent/src/fleet/links.rs
@@ -45,7 +45,8 @@
         link: u64,
         envelope: Box<Envelope>,
     },
-    /// A frame was unreadable or not allowed, for this reason; the link is closed.
+    /// A frame was unreadable or not allowed, for this reason; the link is closed. After a first frame the other
+    /// side is told the reason.
     Rejected(String),
 }
 
--- a/agent/src/ops/mod.rs
+++ b/agent/src/ops/mod.rs
@@ -20,7 +20,7 @@
 pub const MAX_CONNECTIONS: usize = 24;
 /// Limit of the time to a complete line; then the connection gets an error. Some clients take 4 s.
 const LINE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Limit of the time to write a response.
+/// Limit of the time to write a response to a client that does not read it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The connections without a complete line, the oldest first.
@@ -29,7 +29,7 @@
 
 impl IncompleteConnections {
     fn remove(&self, number: u64) {
-        self.0.borrow_mut().retain(|(waits, _)| *waits != number);
+        self.0.borrow_mut().retain(|(waiting, _)| *waiting != number);
     }
 }
 
