--- a/agent/src/fleet/links.rs
+++ b/agent/src/fleet/links.rs
@@ -45,8 +45,8 @@
         link: u64,
         envelope: Box<Envelope>,
     },
-    /// A frame was unreadable or not allowed, for this reason; the link is closed. After a first frame the other
-    /// side is told the reason.
+    /// A frame was unreadable or not allowed, for this reason; the link is closed. The sender of an
+    /// invalid first frame has been sent the reason.
     Rejected(String),
 }
 
