--- a/agent/src/snmp/mib.rs
+++ b/agent/src/snmp/mib.rs
@@ -10,7 +10,7 @@
 use steprelay_core::Breach;
 use steprelay_decisions::Readiness;
 
-use crate::ops::line::fleet_figures;
+use crate::ops::line::cluster_metrics;
 use crate::ports::{SignallingFigures, Snapshot};
 
 /// netSnmpPlaypen 47: the subtree for MIBs of organisations without an enterprise number of their own.
@@ -100,7 +100,7 @@
         State::Stopping => 4,
     };
     put(&[5, 5, 0], integer(lifecycle));
-    for (arc, (_, value)) in (1..).zip(snapshot.fleet.iter().flat_map(fleet_figures)) {
+    for (arc, (_, value)) in (1..).zip(snapshot.fleet.iter().flat_map(cluster_metrics)) {
         // The first six values and those of maintenance (10, 11) are gauges, the others are counters.
         let is_gauge = matches!(arc, 1..=6 | 10 | 11);
         put(&[9, arc, 0], if is_gauge { gauge(value) } else { counter(value) });
