--- a/agent/src/fleet/owner.rs
+++ b/agent/src/fleet/owner.rs
@@ -296,7 +296,7 @@
                 return;
             }
             Request::Refound => {
-                let done = self.node.refound(now);
+                let done = self.node.recreate_group(now);
                 let _ = answer.send(done.map_or_else(refused, |()| Response::Done));
                 return;
             }
@@ -328,7 +328,7 @@
             state: health.as_str().into(),
             version: self
                 .node
-                .minor_of(&member.name)
+                .minor_version_of(&member.name)
                 .map_or_else(String::new, |minor| format!("{}.{minor}", messages::MAJOR)),
             name: member.name,
             zone: member.zone,
--- a/fleet/src/messages.rs
+++ b/fleet/src/messages.rs
@@ -12,7 +12,7 @@
 /// can suspend approvals. 1.2: replication between members and failover.
 pub const MAJOR: u16 = 1;
 pub const MINOR: u16 = 2;
-/// Identifies a consensus group from its creation on: its number grows each time a group is refounded.
+/// Identifies a consensus group from its creation on: its number grows each time a group is recreated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GroupId {
     pub number: u64,
--- a/fleet/src/node/leader.rs
+++ b/fleet/src/node/leader.rs
@@ -304,7 +304,7 @@
         let roster = &self.persistent.cluster_state.roster;
         let join: Vec<Command> = alive
             .filter_map(|(member, _)| {
-                let minor = self.minor_of(&member.name)?;
+                let minor = self.minor_version_of(&member.name)?;
                 let known = RosterEntry { zone: member.zone, minor };
                 let differs = roster.get(&member.name) != Some(&known);
                 differs.then_some(Command::Join { name: member.name, zone: known.zone, minor })
--- a/fleet/src/node/mod.rs
+++ b/fleet/src/node/mod.rs
@@ -39,7 +39,7 @@
 /// remembered.
 const REJECTION_LOG_INTERVAL: Millis = 60_000;
 const MAX_LOGGED_REJECTIONS: usize = 64;
-/// Gap left in the approval numbers when a group is refounded: the lost group may have issued up to this
+/// Gap left in the approval numbers when a group is recreated: the lost group may have issued up to this
 /// many approvals beyond the copy of the state that the new group starts from.
 const REFOUND_APPROVAL_GAP: u64 = 1 << 20;
 
@@ -346,7 +346,7 @@
     }
 
     /// The minor protocol version of a member, if known.
-    pub fn minor_of(&self, name: &str) -> Option<u16> {
+    pub fn minor_version_of(&self, name: &str) -> Option<u16> {
         if name == self.me().name {
             return Some(self.config.minor);
         }
@@ -581,7 +581,7 @@
     /// # Errors
     ///
     /// There is a leader, or no group was ever known.
-    pub fn refound(&mut self, now: Millis) -> Result<(), Rejection> {
+    pub fn recreate_group(&mut self, now: Millis) -> Result<(), Rejection> {
         if !self.persistent.group_id.is_some() {
             return Err(Rejection::NotAllowed("no consensus group was ever known to this member".into()));
         }
--- a/fleet/tests/fleet.rs
+++ b/fleet/tests/fleet.rs
@@ -268,7 +268,7 @@
     }
     sim.partition(|index| usize::from(index == 2));
     sim.run(8_000);
-    assert!(sim.refound(2) && sim.refound(3), "{}", sim.logs());
+    assert!(sim.recreate_group(2) && sim.recreate_group(3), "{}", sim.logs());
     sim.run(3_000);
     sim.heal();
     sim.run(8_000);
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn without_a_majority_nothing_is_approved_until_the_group_is_refounded() {
+fn without_a_majority_nothing_is_approved_until_the_group_is_recreated() {
     let mut sim = converged(9, 5);
     let leader = sim.leader().expect("a leader");
     let voters: Vec<usize> = (0..5)
@@ -407,7 +407,7 @@
     sim.run(15_000);
     assert_eq!(sim.leader(), None);
     assert_eq!(sim.request_maintenance(rest[0], rest[1]), Some(Err(Rejection::NoQuorum)));
-    assert!(sim.refound(rest[0]), "the group has no leader");
+    assert!(sim.recreate_group(rest[0]), "the group has no leader");
     sim.start(voters[0]);
     sim.start(voters[1]);
     assert!(sim.run_until(60_000, Simulation::has_converged), "{}", sim.logs());
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -243,9 +243,9 @@
     }
 
     /// An operator founds a new group at one member. Returns whether that was accepted.
-    pub fn refound(&mut self, by: usize) -> bool {
+    pub fn recreate_group(&mut self, by: usize) -> bool {
         let local = self.machines[by].clock(self.now);
-        let done = self.machines[by].node.as_mut().is_some_and(|node| node.refound(local).is_ok());
+        let done = self.machines[by].node.as_mut().is_some_and(|node| node.recreate_group(local).is_ok());
         self.apply_effects(by);
         done
     }
